--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -187,7 +187,7 @@
         changed = any(path.startswith("destinations") for path in applied)
         if changed and discovery is None and address is None:
             members = configuration.sender.known_endpoints["members"]
-            self.sender.delivery.membership.receive_members(members, whole=True)
+            self.sender.delivery.membership.receive_members(members, complete=True)
 
     def move_notifier(self, configuration: FileConfiguration) -> None:
         """To another address, where notifications go to one."""
--- a/ashpath/server/delivery/attempt_runner.py
+++ b/ashpath/server/delivery/attempt_runner.py
@@ -7,7 +7,7 @@
 | wait for notifications of earlier messages of its ordering key | `PendingNotificationError` |
 | find the address of its endpoint | `EndpointNotListedError` |
 | acquire a connection, idle or new | `ConnectionPoolFullError`, `LocalResourceError`, |
-| | `ConnectError`, `ConnectTimeError` |
+| | `ConnectError`, `DeadlineBeforeConnectError` |
 | check that it is still valid | `EndpointNotListedError`, `AttemptNotValidError` |
 | write the request | `WriteError`, `WriteTimeoutError` |
 | read the response | `ConnectionLostError`, `InvalidResponseError`, `ResponseTimeoutError`, or a response |
@@ -34,7 +34,7 @@
     AttemptNotValidError,
     ConnectError,
     ConnectionLostError,
-    ConnectTimeError,
+    DeadlineBeforeConnectError,
     EndpointNotListedError,
     InvalidResponseError,
     LocalResourceError,
@@ -90,7 +90,7 @@
 
     def _run(self, attempt: Attempt, address: Address | None, owner: AttemptOwner) -> None:
         if attempt.failure is None:  # else cancelled before it began
-            attempt.begun = True
+            attempt.greenlet_started = True
             self._deliver(attempt, address, owner)
         self._finish(attempt, address, owner)
 
@@ -138,12 +138,12 @@
             connection = self.pool.acquire(attempt.endpoint_id, address)
         except OSError as error:
             # A fault of this machine taken for an outage of the far end would stop calls to one that is well.
-            no_route = is_without_route(error) and self.networks.is_local(address)
+            no_route = is_without_route(error) and self.networks.is_local_outage(address)
             if no_route or is_local_fault(error):
                 raise LocalResourceError(str(error)) from error
             raise ConnectError(str(error)) from error
         if not connection.idle_before_use_s:
-            self.networks.dial_came_up(address)
+            self.networks.connection_established(address)
         return connection
 
     def _check_valid(self, attempt: Attempt, address: Address, owner: AttemptOwner) -> None:
@@ -175,7 +175,7 @@
     @staticmethod
     def _timeout_error(attempt: Attempt) -> AttemptError:
         if attempt.connection is None:
-            return ConnectTimeError()
+            return DeadlineBeforeConnectError()
         return ResponseTimeoutError() if attempt.written else WriteTimeoutError()
 
     @staticmethod
--- a/ashpath/server/delivery/attempts.py
+++ b/ashpath/server/delivery/attempts.py
@@ -39,12 +39,12 @@
     failure: AttemptError | None = None
     greenlet: Greenlet[..., None] | None = None
     """What carries it, once it was started."""
-    begun: bool = False
+    greenlet_started: bool = False
     """Its greenlet has run."""
 
     def cancel(self) -> None:
         """Ends it as soon as its greenlet runs again, unless it has ended by then; does not switch."""
-        if self.greenlet is None or not self.begun:
+        if self.greenlet is None or not self.greenlet_started:
             self.failure = AttemptCancelledError()
         elif self.response is None and self.failure is None:
             self.greenlet.kill(AttemptCancelledError, block=False)
--- a/ashpath/server/delivery/connection_pool.py
+++ b/ashpath/server/delivery/connection_pool.py
@@ -26,7 +26,7 @@
 from ashpath.server.http.connection import HttpConnection, open_connection
 from ashpath.server.limits import ServerLimits
 
-DISTRUST_SHARE = 0.8  # of an idle time that ended in a reset: so long is trusted from then on
+TRUSTED_IDLE_FRACTION = 0.8  # of an idle time that ended in a reset: so long is trusted from then on
 
 
 class IdleConnection(NamedTuple):
@@ -131,7 +131,7 @@
         they should, and say nothing: so long a silence is not trusted again for a while."""
         shortest = self.limits.min_endpoint_idle_s
         if connection.idle_before_use_s > shortest:
-            trusted = min(self.idle_limit(endpoint_id), DISTRUST_SHARE * connection.idle_before_use_s)
+            trusted = min(self.idle_limit(endpoint_id), TRUSTED_IDLE_FRACTION * connection.idle_before_use_s)
             until = monotonic() + self.limits.idle_distrust_s
             self.idle_limits[endpoint_id] = IdleLimit(max(shortest, trusted), until)
 
--- a/ashpath/server/delivery/endpoint_registry.py
+++ b/ashpath/server/delivery/endpoint_registry.py
@@ -29,7 +29,7 @@
 
     records: list[EndpointRecord]
     """Members that could be read, in the order of the listing."""
-    whole: bool
+    complete: bool
     """They take the place of all that was listed before."""
     unreadable: int
     """Members that could not be read, each logged."""
@@ -61,11 +61,11 @@
         """Whether the destination has a listed endpoint, or had one a short while ago."""
         return destination in self.served_destinations
 
-    def apply_members(self, members: Sequence[EndpointMember], *, whole: bool) -> MembershipChange:
+    def apply_members(self, members: Sequence[EndpointMember], *, complete: bool) -> MembershipChange:
         """Takes a listing: the whole one, or changes. Idle connections to addresses that are gone close."""
         read = self._read(members)
         addresses_before = dict(self.addresses)
-        if whole:
+        if complete:
             self.addresses = {}
             self.listed = {}
             self.records = {}
@@ -81,7 +81,7 @@
             if self.addresses.get(endpoint_id) != address:
                 self.pool.close_idle(endpoint_id)
         records = [record for record, _ in read]
-        return MembershipChange(records, whole, unreadable=len(members) - len(records))
+        return MembershipChange(records, complete, unreadable=len(members) - len(records))
 
     def _read(self, members: Sequence[EndpointMember]) -> list[tuple[EndpointRecord, Address]]:
         """The members that can be read: a bad one must not hide the others."""
@@ -119,13 +119,13 @@
         return EndpointRecord(
             endpoint_id=endpoint_id,
             destination=int(member["cell"]),
-            kind=self._index(self.kinds, member.get("flavor")),
-            zone=self._index(self.zones, member.get("locality")),
+            kind=self._index_or_first(self.kinds, member.get("flavor")),
+            zone=self._index_or_first(self.zones, member.get("locality")),
             status=wire_names.ENDPOINT_STATUSES[member["phase"]],
             listed_rate=max(0.0, float(member.get("size") or 0)),
         )
 
     @staticmethod
-    def _index(known: Sequence[object], name: object) -> int:
+    def _index_or_first(known: Sequence[object], name: object) -> int:
         """Lists and settings name kinds and zones alike; a name not in the settings counts as the first."""
         return known.index(name) if name in known else 0
--- a/ashpath/server/delivery/errors.py
+++ b/ashpath/server/delivery/errors.py
@@ -33,7 +33,7 @@
     """Half of the attempt's time went by without notification of an earlier message of its ordering key."""
 
 
-class ConnectTimeError(NotSentError):
+class DeadlineBeforeConnectError(NotSentError):
     """The attempt's time ran out before a connect timeout did: that proves nothing of the endpoint."""
 
 
--- a/ashpath/server/delivery/outcome_recorder.py
+++ b/ashpath/server/delivery/outcome_recorder.py
@@ -60,7 +60,7 @@
         self.recorder.current_submission = None
 
 
-class FinalStates(Protocol):
+class FinalStateStore(Protocol):
     """Who keeps final states for clients that ask."""
 
     def add(self, trace_id: str, state: FinalState, retry_after: int = 0) -> None:
@@ -87,7 +87,7 @@
         self,
         write_ahead_log: WriteAheadLog,
         notifier: Notifier,
-        outcome_store: FinalStates | None = None,
+        outcome_store: FinalStateStore | None = None,
     ) -> None:
         self.write_ahead_log = write_ahead_log
         self.notifier = notifier
--- a/ashpath/server/delivery/response_classifier.py
+++ b/ashpath/server/delivery/response_classifier.py
@@ -46,8 +46,8 @@
 SERVICE_UNAVAILABLE = 503
 REMAINING_QUOTA_FIELD = b"x0"
 RATE_LIMIT_FIELD = b"x1"
-MICROSECONDS = 1e6
-LARGEST_NUMBER = 1e6  # a header with more than that cannot be meant
+MICROSECONDS_PER_SECOND = 1e6
+HEADER_NUMBER_LIMIT = 1e6  # a header with more than that cannot be meant
 
 
 def parse_number(text: bytes | None) -> float | None:
@@ -60,7 +60,7 @@
         value = float(text or b"")
     except ValueError:
         return None
-    return value if 0 <= value < LARGEST_NUMBER else None
+    return value if 0 <= value < HEADER_NUMBER_LIMIT else None
 
 
 class ResponseClassifier:
@@ -78,7 +78,7 @@
         retry_after = 0
         if outcome is AttemptOutcome.OVERLOADED:
             seconds = parse_number(response.headers.get(wire_names.RETRY_AFTER_HEADER)) or 0.0
-            retry_after = round(seconds * MICROSECONDS)
+            retry_after = round(seconds * MICROSECONDS_PER_SECOND)
         final = response.status in FINAL_STATUSES
         return AttemptResult(outcome, retry_after, final, self.load_report(response))
 
--- a/ashpath/server/delivery/rotating_file.py
+++ b/ashpath/server/delivery/rotating_file.py
@@ -51,10 +51,10 @@
             return
         for age in range(self.kept_files, 0, -1):
             with suppress(FileNotFoundError):
-                os.replace(self.path_of(age - 1), self.path_of(age))
+                os.replace(self.rotated_path(age - 1), self.rotated_path(age))
         if not self.kept_files:
             self.path.unlink()
 
-    def path_of(self, age: int) -> Path:
+    def rotated_path(self, age: int) -> Path:
         """0: the current file."""
         return self.path.with_name(f"{self.path.name}.{age}") if age else self.path
--- a/ashpath/server/delivery/unreachable_networks.py
+++ b/ashpath/server/delivery/unreachable_networks.py
@@ -15,16 +15,19 @@
     """Keeps the addresses without a route, until a dial there comes up."""
 
     def __init__(self) -> None:
-        self.dials_up = 0
-        self._first_seen: dict[Address, int] = {}  # by address, how many dials had come up by then
+        self.established_connections = 0
+        self._first_failures: dict[Address, int] = {}  # by address, how many dials had come up by then
 
-    def dial_came_up(self, address: Address) -> None:
+    def connection_established(self, address: Address) -> None:
         """There is a route."""
-        self.dials_up += 1
-        self._first_seen.pop(address, None)
+        self.established_connections += 1
+        self._first_failures.pop(address, None)
 
-    def is_local(self, address: Address) -> bool:
+    def is_local_outage(self, address: Address) -> bool:
         """Whether a dial without a route, to this address and just now, is a fault of this machine."""
-        if len(self._first_seen) >= MAX_ADDRESSES:
-            self._first_seen.clear()
-        return self._first_seen.setdefault(address, self.dials_up) == self.dials_up
+        if len(self._first_failures) >= MAX_ADDRESSES:
+            self._first_failures.clear()
+        return (
+            self._first_failures.setdefault(address, self.established_connections)
+            == self.established_connections
+        )
--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -274,7 +274,7 @@
         every_row_read = True
         if response.rows:
             rows = self.without_stale(response)
-            every_row_read = self.listener.receive_members(rows, whole=response.complete)
+            every_row_read = self.listener.receive_members(rows, complete=response.complete)
         in_sequence = previous_revision is None or response.revision >= previous_revision
         if response.complete or (every_row_read and in_sequence):
             self.revision = response.revision
--- a/ashpath/server/discovery/snapshot.py
+++ b/ashpath/server/discovery/snapshot.py
@@ -25,8 +25,8 @@
 class MembershipListener(Protocol):
     """Receives every snapshot and update."""
 
-    def receive_members(self, members: list[EndpointRow], *, whole: bool) -> bool:
-        """Applies a snapshot (`whole`) or an update; whether every row could be read."""
+    def receive_members(self, members: list[EndpointRow], *, complete: bool) -> bool:
+        """Applies a snapshot (`complete`) or an update; whether every row could be read."""
         ...
 
 
--- a/ashpath/server/endpoint_membership.py
+++ b/ashpath/server/endpoint_membership.py
@@ -14,8 +14,8 @@
         self.registry = registry
         self.policy_runner = policy_runner
 
-    def receive_members(self, members: list[EndpointRow], *, whole: bool) -> bool:
+    def receive_members(self, members: list[EndpointRow], *, complete: bool) -> bool:
         """Applies a listing; whether every member could be read."""
-        change = self.registry.apply_members(members, whole=whole)
-        self.policy_runner.update_endpoints(change.records, whole=change.whole)
+        change = self.registry.apply_members(members, complete=complete)
+        self.policy_runner.update_endpoints(change.records, whole=change.complete)
         return not change.unreadable
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -54,7 +54,7 @@
     running = RunningConfiguration(configuration)
     delivery = create_delivery_path(place, configuration, deployment, write_ahead_log, logger)
     clients = create_client_side(place, configuration, deployment, delivery, logger)
-    delivery.registry.apply_members(configuration.known_endpoints["members"], whole=True)
+    delivery.registry.apply_members(configuration.known_endpoints["members"], complete=True)
     control = create_control_listener(place, configuration, delivery, clients.listener, logger)
     discovery = create_discovery_client(place, configuration, delivery.membership, logger)
     gossip = GossipService(delivery.policy_runner, delivery.gossip_link, logger)
--- a/tests/server/delivery/test_attempt_runner.py
+++ b/tests/server/delivery/test_attempt_runner.py
@@ -62,7 +62,7 @@
 }
 
 
-def test_spoilt_responses(world: World) -> None:
+def test_malformed_responses_have_expected_outcome_and_connection_reuse(world: World) -> None:
     """What is not sound may have run, whatever its status, and its connection carries no other request."""
 
     def serve(sock: socket.socket, _: object) -> None:
@@ -82,7 +82,7 @@
         stages.pool.close_idle("e1")
 
 
-def test_what_is_not_valid_any_more_is_not_sent(world: World) -> None:
+def test_attempt_invalidated_while_connecting_is_not_sent(world: World) -> None:
     """Checked once its connection is up; a drain closes idle connections."""
     stages = DeliveryStages(world)
     stages.start("a", b"200")
@@ -94,14 +94,14 @@
     until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
     assert not world.attempt_count("b")
     assert stages.pool.idle
-    stages.registry.apply_members([{**row, "phase": "draining"} for row in world.members], whole=False)
+    stages.registry.apply_members([{**row, "phase": "draining"} for row in world.members], complete=False)
     assert not stages.pool.idle
     assert stages.pool.open == 0
     stages.start("d", b"200")
     until(lambda: stages.outcomes[3:] == [AttemptOutcome.NOT_SENT])
 
 
-def test_a_cancelled_attempt_has_one_outcome(world: World) -> None:
+def test_cancelled_attempt_has_exactly_one_outcome(world: World) -> None:
     """Whenever it is cancelled; and its connection carries no other request."""
     stages = DeliveryStages(world)
     stages.start("a", b"hang").cancel()
@@ -119,9 +119,9 @@
 
 
 # What gives an attempt up, and its outcome.
-GIVEN_UP = {AttemptCancelledError: AttemptOutcome.CANCELLED, Timeout: AttemptOutcome.TIMED_OUT}
+INTERRUPTIONS = {AttemptCancelledError: AttemptOutcome.CANCELLED, Timeout: AttemptOutcome.TIMED_OUT}
 # What is in the socket as the attempt is given up, and whether it was delivered.
-LAST_BYTES = {
+BYTES_BEFORE_INTERRUPTION = {
     b"": False,
     b"HTTP/1.1 20": False,
     OK: True,
@@ -132,9 +132,9 @@
 }
 
 
-@pytest.mark.parametrize("error", GIVEN_UP, ids=lambda error: error.__name__)
-@pytest.mark.parametrize("data", LAST_BYTES, ids=lambda data: str(data[:40]))
-def test_a_response_in_the_moment_of_giving_up(
+@pytest.mark.parametrize("error", INTERRUPTIONS, ids=lambda error: error.__name__)
+@pytest.mark.parametrize("data", BYTES_BEFORE_INTERRUPTION, ids=lambda data: str(data[:40]))
+def test_success_received_before_interruption_counts_as_delivered(
     world: World, monkeypatch: pytest.MonkeyPatch, error: type[BaseException], data: bytes
 ) -> None:
     """Guards what was delivered against a retry and a false final state: a 200 whose status line was here
@@ -143,7 +143,7 @@
     connections: list[HttpConnection] = []
     connect = stages.pool.connect
 
-    def remembered(address: Address) -> HttpConnection:
+    def record_connection(address: Address) -> HttpConnection:
         connections.append(connect(address))
         return connections[-1]
 
@@ -160,15 +160,17 @@
         attempt.greenlet.kill(error(), block=False)  # thrown before anything is read
         gevent.sleep(0.05)
 
-    monkeypatch.setattr(stages.pool, "connect", remembered)
+    monkeypatch.setattr(stages.pool, "connect", record_connection)
     world.servers[0].set_handle(serve)
     attempt = stages.start("a", b"")
     until(lambda: bool(stages.outcomes))
-    assert stages.outcomes == [AttemptOutcome.DELIVERED if LAST_BYTES[data] else GIVEN_UP[error]]
+    assert stages.outcomes == [
+        AttemptOutcome.DELIVERED if BYTES_BEFORE_INTERRUPTION[data] else INTERRUPTIONS[error]
+    ]
     assert stages.pool.open == 0
 
 
-def test_an_endpoint_moves_while_its_connection_comes_up(
+def test_endpoint_moved_while_connecting_gets_no_request(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards other destinations: the address that was dialled may be another endpoint's by the first byte."""
@@ -177,12 +179,12 @@
     moved = {**world.members[1], "host_port": "127.0.0.1:1"}
     successor = {**world.members[1], "id": "new", "cell": 9}
 
-    def slowly(address: Address) -> HttpConnection:
+    def connect_and_move_endpoint(address: Address) -> HttpConnection:
         connection = connect(address)
-        stages.registry.apply_members([moved, successor], whole=False)
+        stages.registry.apply_members([moved, successor], complete=False)
         return connection
 
-    monkeypatch.setattr(stages.pool, "connect", slowly)
+    monkeypatch.setattr(stages.pool, "connect", connect_and_move_endpoint)
     stages.start("a", b"200")
     until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [AttemptOutcome.NOT_SENT]
@@ -206,7 +208,9 @@
 
 
 @pytest.mark.parametrize("error", CONNECT_ERRORS, ids=repr)
-def test_connecting_fails(world: World, monkeypatch: pytest.MonkeyPatch, error: Exception) -> None:
+def test_connect_error_maps_to_one_outcome(
+    world: World, monkeypatch: pytest.MonkeyPatch, error: Exception
+) -> None:
     """Guards concurrency and endpoints: whatever it raises, the attempt has one outcome, and the right
     one."""
     stages = DeliveryStages(world)
@@ -220,7 +224,7 @@
     assert stages.outcomes == [CONNECT_ERRORS[error]]
 
 
-def test_less_time_than_connecting_takes(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_deadline_before_connect_counts_as_not_sent(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards endpoints: that its connection was not up by a message's deadline says nothing of one that is
     well; taken for a refused connection it was an outage."""
     stages = DeliveryStages(world)
@@ -230,7 +234,7 @@
     assert stages.outcomes == [AttemptOutcome.NOT_SENT]
 
 
-def test_all_connections_are_in_use(world: World) -> None:
+def test_exhausted_connection_pool_is_a_local_fault(world: World) -> None:
     """Says nothing of the endpoint: the attempt was not sent."""
     stages = DeliveryStages(world)
     stages.pool.limits = replace(LIMITS, endpoint_connections=0)
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -21,13 +21,13 @@
     return "127.0.0.1", port
 
 
-def make_older(pool: ConnectionPool, index: int, seconds: float) -> None:
+def backdate_idle_connection(pool: ConnectionPool, index: int, seconds: float) -> None:
     """An idle connection of endpoint e1 was idle for so much longer."""
     since, connection = pool.idle["e1"][index]
     pool.idle["e1"][index] = IdleConnection(since - seconds, connection)
 
 
-def test_what_cannot_carry_a_request_is_closed(world: World) -> None:
+def test_unusable_idle_connections_are_closed(world: World) -> None:
     """Closed, spoilt and long idle connections carry no request."""
     pool = ConnectionPool(LIMITS)
     good, closed, spoilt, old = (pool.connect(endpoint_address(world)) for _ in range(4))
@@ -38,14 +38,14 @@
     until(lambda: not closed.is_quiet() and not spoilt.is_quiet())
     assert pool.acquire_idle("e1") is good
     assert pool.open == 2
-    make_older(pool, 0, LIMITS.endpoint_idle_s)
+    backdate_idle_connection(pool, 0, LIMITS.endpoint_idle_s)
     pool.release("e1", good)
     pool.sweep()
     assert [idle.connection for idle in pool.idle["e1"]] == [good]
     assert pool.open == 1
 
 
-def test_idle_connections_give_way_to_new_ones(world: World) -> None:
+def test_longest_idle_connection_is_evicted_at_the_limit(world: World) -> None:
     """No more are open than the limit says; the longest idle one makes room."""
     pool = ConnectionPool(LIMITS)
     address = endpoint_address(world)
@@ -63,23 +63,23 @@
     assert pool.open == LIMITS.endpoint_connections - 1
 
 
-def test_idle_connections_that_are_dropped_in_silence(world: World) -> None:
+def test_reset_of_idle_connection_shortens_idle_limit(world: World) -> None:
     """A far end that resets what was idle for a while: younger ones are trusted, and from then on first."""
     stages = DeliveryStages(world)
     pool = stages.pool
     address = endpoint_address(world)
 
-    def drop(sock: socket.socket, _: object) -> None:
+    def reset_after_request(sock: socket.socket, _: object) -> None:
         HttpConnection(sock, LIMITS).read_request()
         reset_connection(sock)
 
     old, young = (pool.connect(address) for _ in range(2))
     for connection, age in ((old, 1.0), (young, 0.2)):
         pool.release("e1", connection)
-        make_older(pool, -1, age)
+        backdate_idle_connection(pool, -1, age)
     assert pool.acquire_idle("e1") is old
     pool.release("e1", old)
-    world.servers[0].set_handle(drop)
+    world.servers[0].set_handle(reset_after_request)
     stages.start("a", b"reset")  # on the young one, the longest idle now
     until(lambda: stages.outcomes == [AttemptOutcome.CONNECTION_RESET])
     assert 0.1 < pool.idle_limit("e1") < 0.2
@@ -94,7 +94,7 @@
     pool.close_idle("e1")
     third = pool.connect(address)
     pool.release("e1", third)
-    make_older(pool, 0, 1.0)
+    backdate_idle_connection(pool, 0, 1.0)
     assert pool.acquire_idle("e1") is None
     assert third.unusable
     pool.idle_limits["e1"] = IdleLimit(longest_idle=0.5, until=0.0)
--- a/tests/server/delivery/test_endpoint_registry.py
+++ b/tests/server/delivery/test_endpoint_registry.py
@@ -12,7 +12,7 @@
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 
 
-def test_successor_at_an_address(world: World) -> None:
+def test_successor_at_same_address_gets_no_old_connection(world: World) -> None:
     """Connections of an endpoint that is gone carry no call for the one that took its address."""
     stages = DeliveryStages(world)
     stages.start("a", b"200")
@@ -20,7 +20,7 @@
     until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED] and slow.written and stages.pool.idle)
     old = stages.pool.idle["e1"][0][1]
     stages.registry.apply_members(
-        [{**world.members[1], "phase": "removed"}, {**world.members[1], "id": "new"}], whole=False
+        [{**world.members[1], "phase": "removed"}, {**world.members[1], "id": "new"}], complete=False
     )
     assert old.unusable
     assert not stages.pool.idle
@@ -30,25 +30,25 @@
     assert list(stages.pool.idle) == ["new"]
 
 
-def test_a_drain_counts_however_its_member_is_spoilt(world: World) -> None:
+def test_drain_applies_despite_unreadable_address(world: World) -> None:
     """The address of an endpoint that leaves is no matter: nothing more is sent there."""
     registry = DeliveryStages(world).registry
     draining = {"id": "e1", "cell": 1, "phase": "draining", "host_port": None}
-    assert not registry.apply_members([draining], whole=False).unreadable
+    assert not registry.apply_members([draining], complete=False).unreadable
     listed_again = {**draining, "phase": "up", "host_port": "127.0.0.1:70000"}
     assert "e1" not in registry.addresses
-    assert registry.apply_members([listed_again], whole=False).unreadable == 1
+    assert registry.apply_members([listed_again], complete=False).unreadable == 1
 
 
-def test_destinations_served() -> None:
+def test_destination_without_endpoint_is_served_until_forgotten() -> None:
     """A destination between an endpoint and its successor is served; one long without any is forgotten."""
     registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), LOG)
     row = {"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}
-    registry.apply_members([row], whole=True)
-    registry.apply_members([], whole=True)
+    registry.apply_members([row], complete=True)
+    registry.apply_members([], complete=True)
     assert registry.serves(1)
     assert not registry.serves(2)
     registry.pool.limits = replace(LIMITS, forget_destination_s=0.0)
-    registry.apply_members([{**row, "cell": 2}], whole=True)
+    registry.apply_members([{**row, "cell": 2}], complete=True)
     assert registry.serves(2)
     assert not registry.serves(1)
--- a/tests/server/delivery/test_file_notifier.py
+++ b/tests/server/delivery/test_file_notifier.py
@@ -15,7 +15,7 @@
 from ashpath.server.delivery.rotating_file import RotatingFile
 
 
-def test_notifications_are_lines_of_the_file(tmp_path: Path) -> None:
+def test_each_notification_is_one_line_of_the_file(tmp_path: Path) -> None:
     limits = replace(LIMITS, notification_batch=2)
     notifier = FileNotifier(RotatingFile(tmp_path / "n", 1000, 1), limits, Mock(), Mock())
     for trace_id in "abc":
@@ -27,7 +27,7 @@
     assert lines == [f'{{"id":"{trace_id}","status":"undeliverable"}}' for trace_id in "abc"]
 
 
-def test_what_cannot_be_written_stays_pending(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_write_leaves_notification_pending(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """It is logged once, tried again, and logged once more as it is written."""
     logger, log = Mock(), Mock()
     file = RotatingFile(tmp_path / "n", 1000, 1)
--- a/tests/server/delivery/test_http_notifier.py
+++ b/tests/server/delivery/test_http_notifier.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("status", [204, 200])
-def test_an_acknowledged_batch_is_sent_once(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
+def test_acknowledged_batch_is_sent_once(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
     receiver = notify(monkeypatch, [status], Mock())
     assert receiver.batches == [["a", "b", "c"]]
     assert receiver.request_lines == {b"POST /ends HTTP/1.1"}
@@ -65,12 +65,12 @@
 
 
 @pytest.mark.parametrize("status", [0, 503, 500, 404])
-def test_a_batch_is_sent_until_it_is_acknowledged(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
+def test_batch_is_resent_until_acknowledged(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
     receiver = notify(monkeypatch, [status, status, 204], Mock())
     assert receiver.batches == [["a", "b", "c"]] * 3
 
 
-def test_a_line_that_cannot_be_read_holds_up_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rejected_line_does_not_block_other_lines(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each goes alone then; the one is logged and dropped, and the rest goes as a batch again."""
     logger = Mock()
     receiver = notify(monkeypatch, [400, 400, 204], logger)
@@ -80,7 +80,7 @@
     )
 
 
-def test_a_move_changes_the_path_and_the_headers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_move_changes_address_path_and_headers(monkeypatch: pytest.MonkeyPatch) -> None:
     receiver = ScriptedReceiver([204])
     notifier = HttpNotifier(RECEIVER, LIMITS, Mock(), Mock(), Backoff(Random(0), 0.1, 0.2))
     monkeypatch.setattr(notifier.connection, "call", receiver.call)
--- a/tests/server/delivery/test_local_faults.py
+++ b/tests/server/delivery/test_local_faults.py
@@ -24,7 +24,7 @@
 TIME_LEFT_MS = 4000
 
 
-def play(folder: Path, error: str) -> str:
+def run_with_failing_connects(folder: Path, error: str) -> str:
     """What was wrong with one sender, all of whose connects fail for a while."""
     folder.mkdir()
     world = World(folder)
@@ -46,9 +46,9 @@
         world.stop()
 
 
-def test_connects_that_fail_here_delay_messages_and_blame_nobody(tmp_path: Path) -> None:
+def test_local_connect_faults_delay_messages_without_opening_breakers(tmp_path: Path) -> None:
     """Each errno with a sender of its own, side by side."""
     results: dict[str, Callable[[], str]] = {
-        error: gevent.spawn(play, tmp_path / error, error).get for error in ERRORS
+        error: gevent.spawn(run_with_failing_connects, tmp_path / error, error).get for error in ERRORS
     }
     assert {error: fault for error, get in results.items() if (fault := get())} == {}
--- a/tests/server/delivery/test_notifier.py
+++ b/tests/server/delivery/test_notifier.py
@@ -11,7 +11,7 @@
 from ashpath.server.delivery.notifier import NullNotifier, PendingNotifications, encode_batch
 
 
-def test_a_batch_is_the_oldest_ones_and_stays_pending() -> None:
+def test_batch_of_oldest_notifications_stays_pending() -> None:
     pending = PendingNotifications(Mock())
     messages = [ended_message(f"m{n}") for n in range(5)]
     for message in messages:
@@ -21,7 +21,7 @@
     assert pending.has_pending
 
 
-def test_a_batch_is_waited_for() -> None:
+def test_wait_for_batch_blocks_until_message_is_added() -> None:
     pending = PendingNotifications(Mock())
     waiting = gevent.spawn(pending.wait_for_batch, 3)
     gevent.sleep(0)
@@ -31,7 +31,7 @@
     assert waiting.get(timeout=5) == [message]
 
 
-def test_what_is_acknowledged_leaves_the_write_ahead_log() -> None:
+def test_acknowledged_messages_leave_the_write_ahead_log() -> None:
     log = Mock()
     pending = PendingNotifications(log)
     first, second = ended_message("first"), ended_message("second")
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(("key", "waits"), [(1, True), (2, False)])
-def test_a_message_waits_for_the_next_acknowledgement_of_its_key(key: int, waits: bool) -> None:
+def test_message_waits_for_acknowledgement_of_its_ordering_key(key: int, waits: bool) -> None:
     pending = PendingNotifications(Mock())
     pending.add(ended_message("ended", ordering_key=1))
     acknowledged = pending.next_acknowledgement(ended_message("next", ordering_key=key))
@@ -55,14 +55,14 @@
     assert pending.next_acknowledgement(ended_message("next", ordering_key=1)) is None
 
 
-def test_a_batch_is_a_line_for_each() -> None:
+def test_batch_is_encoded_as_one_line_per_message() -> None:
     batch = [ended_message("a"), ended_message("b")]
     assert encode_batch(batch) == (
         b'{"id":"a","status":"undeliverable"}\n{"id":"b","status":"undeliverable"}\n'
     )
 
 
-def test_without_a_receiver_nothing_is_pending() -> None:
+def test_null_notifier_leaves_nothing_pending() -> None:
     log = Mock()
     notifier = NullNotifier(log)
     message = ended_message("a")
--- a/tests/server/delivery/test_response_classifier.py
+++ b/tests/server/delivery/test_response_classifier.py
@@ -17,7 +17,7 @@
     ConnectError,
     ConnectionLostError,
     ConnectionPoolFullError,
-    ConnectTimeError,
+    DeadlineBeforeConnectError,
     EndpointNotListedError,
     InvalidResponseError,
     LocalResourceError,
@@ -31,37 +31,37 @@
 from ashpath.server.storage.stored_message import StoredMessage
 
 
-class Row(NamedTuple):
+class DeliveryCase(NamedTuple):
     """What attempts of a message meet, its class, how many there are then, and its notification."""
 
-    meets: str
+    behaviors: str
     traffic_class: str
     attempts: int
     notification: str | None = None
 
 
-ROWS = [
-    Row("200", "once", 1),
-    Row("stray", "once", 1),
-    Row("line", "once", 1),
-    Row("slow", "once", 1),
-    Row("500 200", "free", 2),
-    Row("500 200", "tag", 2),
-    Row("500", "once", 1, "undeliverable"),
-    Row("418", "once", 1, "undeliverable"),
-    Row("429 200", "once", 2),
-    Row("503 200", "once", 2),
-    Row("egress 200", "once", 2),
-    Row("504 200", "once", 2),
-    Row("410", "once", 1),
-    Row("reset 200", "free", 2),
-    Row("reset 200", "tag", 2),
-    Row("reset", "once", 1, "undeliverable"),
-    Row("hang", "once", 1, "undeliverable"),
-    Row("refused", "free", 0, "deferred"),
-    Row("refused", "once", 0, "deferred"),
-    Row("hang", "free", 1, "deferred"),
-    Row("hang", "tag", 1, "undeliverable"),
+DELIVERY_CASES = [
+    DeliveryCase("200", "once", 1),
+    DeliveryCase("stray", "once", 1),
+    DeliveryCase("line", "once", 1),
+    DeliveryCase("slow", "once", 1),
+    DeliveryCase("500 200", "free", 2),
+    DeliveryCase("500 200", "tag", 2),
+    DeliveryCase("500", "once", 1, "undeliverable"),
+    DeliveryCase("418", "once", 1, "undeliverable"),
+    DeliveryCase("429 200", "once", 2),
+    DeliveryCase("503 200", "once", 2),
+    DeliveryCase("egress 200", "once", 2),
+    DeliveryCase("504 200", "once", 2),
+    DeliveryCase("410", "once", 1),
+    DeliveryCase("reset 200", "free", 2),
+    DeliveryCase("reset 200", "tag", 2),
+    DeliveryCase("reset", "once", 1, "undeliverable"),
+    DeliveryCase("hang", "once", 1, "undeliverable"),
+    DeliveryCase("refused", "free", 0, "deferred"),
+    DeliveryCase("refused", "once", 0, "deferred"),
+    DeliveryCase("hang", "free", 1, "deferred"),
+    DeliveryCase("hang", "tag", 1, "undeliverable"),
 ]
 
 
@@ -74,36 +74,36 @@
     return attempt
 
 
-def test_each_outcome_on_sockets(world: World) -> None:
+def test_endpoint_behavior_determines_attempts_and_notification(world: World) -> None:
     """How often a message is sent, and what is notified of it, by what its attempts meet."""
-    for number, row in enumerate(ROWS):
-        if row.meets == "refused":
+    for number, case in enumerate(DELIVERY_CASES):
+        if case.behaviors == "refused":
             world.members[number]["host_port"] = "127.0.0.1:1"
     world.configure()
     world.start()
-    for number, row in enumerate(ROWS):
-        time_left = 30000 if "200" in row.meets or row.meets == "slow" else 1500
-        assert world.submit(f"r{number}", row.traffic_class, row.meets, number, time_left) == 202
-    for number, row in enumerate(ROWS):
+    for number, case in enumerate(DELIVERY_CASES):
+        time_left = 30000 if "200" in case.behaviors or case.behaviors == "slow" else 1500
+        assert world.submit(f"r{number}", case.traffic_class, case.behaviors, number, time_left) == 202
+    for number, case in enumerate(DELIVERY_CASES):
         trace_id = f"r{number}"
-        until(lambda trace_id=trace_id, row=row: world.attempt_count(trace_id) >= row.attempts)  # type: ignore[misc]
-        if row.notification is not None:
-            expected = [row.notification]
+        until(lambda trace_id=trace_id, case=case: world.attempt_count(trace_id) >= case.attempts)  # type: ignore[misc]
+        if case.notification is not None:
+            expected = [case.notification]
             until(lambda trace_id=trace_id, expected=expected: world.notified(trace_id) == expected)  # type: ignore[misc]
-        assert world.attempt_count(trace_id) == row.attempts, row
+        assert world.attempt_count(trace_id) == case.attempts, case
         for call in world.attempts.get(trace_id, ()):
             assert call.headers[b"idempotency-key"] == b"tag-r%d" % number
             assert call.path == b"/hook"
             assert 0 < int(call.headers[b"x-expires-in-ms"]) <= 30000
     until(lambda: not live(world))
-    assert len(world.notifications) == sum(row.notification is not None for row in ROWS)
+    assert len(world.notifications) == sum(case.notification is not None for case in DELIVERY_CASES)
 
 
 @pytest.mark.parametrize(
     ("report", "expected"),
     [(b"TEXT x0=0.5, x1=20", LoadReport(0.5, 20.0)), (b"TEXT x0=?, x1=20", None), (b"%%", None)],
 )
-def test_load_reports(report: bytes, expected: LoadReport | None) -> None:
+def test_unreadable_load_report_is_ignored(report: bytes, expected: LoadReport | None) -> None:
     """One that cannot be read reports nothing, not that no quota is left."""
     response = HttpResponse()
     response.headers = {b"endpoint-load-metrics": report}
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("new_connection", [True, False])
 @pytest.mark.parametrize("closes", [True, False])
 @pytest.mark.parametrize("status", [503, 429, 500])
-def test_a_full_connection_table_is_no_limit(new_connection: bool, closes: bool, status: int) -> None:
+def test_full_connection_table_is_not_an_overload(new_connection: bool, closes: bool, status: int) -> None:
     """Guards a fleet whose idle connections fill the tables of endpoints: they answer the first request of a
     new connection 503 and close it. Taken for a limit, rates fell and breakers opened, and nobody gave a
     connection back."""
@@ -135,7 +135,7 @@
     PendingNotificationError: AttemptOutcome.NOT_SENT,
     ConnectionPoolFullError: AttemptOutcome.LOCAL_FAULT,
     LocalResourceError: AttemptOutcome.LOCAL_FAULT,
-    ConnectTimeError: AttemptOutcome.NOT_SENT,
+    DeadlineBeforeConnectError: AttemptOutcome.NOT_SENT,
     ConnectError: AttemptOutcome.CONNECT_FAILED,
     WriteError: AttemptOutcome.CONNECT_FAILED,
     WriteTimeoutError: AttemptOutcome.CONNECT_FAILED,
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda failure: failure.__name__)
-def test_without_a_response_the_cause_is_the_outcome(failure: type[AttemptError]) -> None:
+def test_each_failure_without_response_has_its_outcome(failure: type[AttemptError]) -> None:
     """Each type of failure has one outcome, which ends no message and names no Retry-After."""
     result = ResponseClassifier(has_load_reports=True).classify(attempt_with(failure=failure()))
     assert result == AttemptResult(FAILURES[failure])
@@ -166,7 +166,9 @@
         (418, {b"retry-after": b"2"}, AttemptResult(AttemptOutcome.ERROR)),
     ],
 )
-def test_a_response_by_its_status(status: int, headers: dict[bytes, bytes], expected: AttemptResult) -> None:
+def test_response_status_determines_attempt_result(
+    status: int, headers: dict[bytes, bytes], expected: AttemptResult
+) -> None:
     """A Retry-After counts with an overload alone; a success counts before the failure of giving up."""
     response = HttpResponse()
     response.status = status
--- a/tests/server/delivery/test_rotating_file.py
+++ b/tests/server/delivery/test_rotating_file.py
@@ -11,7 +11,7 @@
 from ashpath.server.storage.errors import PartialWriteError
 
 
-def test_a_full_file_is_set_aside_and_the_last_one_dropped(tmp_path: Path) -> None:
+def test_full_file_is_rotated_and_oldest_dropped(tmp_path: Path) -> None:
     file = RotatingFile(tmp_path / "n", 100, 2)
     for number in range(30):
         file.append(b"%030d\n" % number)
@@ -20,14 +20,14 @@
     assert (tmp_path / "n.2").stat().st_size <= 100
 
 
-def test_a_file_is_continued_behind_what_is_in_it(tmp_path: Path) -> None:
+def test_reopened_file_counts_its_existing_bytes(tmp_path: Path) -> None:
     file = RotatingFile(tmp_path / "n", 100, 2)
     for number in range(30):
         file.append(b"%030d\n" % number)
     assert RotatingFile(tmp_path / "n", 100, 2).size == file.size == (tmp_path / "n").stat().st_size
 
 
-def test_a_write_that_is_cut_short_leaves_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_partial_write_leaves_nothing_in_the_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = RotatingFile(tmp_path / "n", 100, 2)
     file.append(b"whole\n")
     write = os.write
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -43,8 +43,8 @@
         self.reports: list[tuple[int, bool]] = []  # how many rows, and whether it was a snapshot
         self.rows: list[EndpointRow] = []
 
-    def receive_members(self, members: list[EndpointRow], *, whole: bool) -> bool:
-        self.reports.append((len(members), whole))
+    def receive_members(self, members: list[EndpointRow], *, complete: bool) -> bool:
+        self.reports.append((len(members), complete))
         self.rows += members
         return True
 
@@ -55,8 +55,8 @@
     def __init__(self, registry: EndpointRegistry) -> None:
         self.registry = registry
 
-    def receive_members(self, members: list[EndpointRow], *, whole: bool) -> bool:
-        return not self.registry.apply_members(members, whole=whole).unreadable
+    def receive_members(self, members: list[EndpointRow], *, complete: bool) -> bool:
+        return not self.registry.apply_members(members, complete=complete).unreadable
 
 
 class ScriptedAgent:
--- a/tests/server/test_endpoint_membership.py
+++ b/tests/server/test_endpoint_membership.py
@@ -30,6 +30,6 @@
         seen.append(([record.endpoint_id for record in records], whole, "e1" in registry.addresses))
 
     policy_runner.update_endpoints.side_effect = update
-    readable = EndpointMembership(registry, policy_runner).receive_members(members, whole=whole)
+    readable = EndpointMembership(registry, policy_runner).receive_members(members, complete=whole)
     assert readable is (len(members) == 1)
     assert seen == [(["e1"], whole, True)]
--- a/tests/server/test_policy_batch.py
+++ b/tests/server/test_policy_batch.py
@@ -28,7 +28,7 @@
         logger = structlog.get_logger()
         self.detached_endpoints = DetachedEndpoints(directory, logger)
         registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), logger)
-        registry.apply_members([LISTED], whole=True)
+        registry.apply_members([LISTED], complete=True)
         self.calls = Mock()
         policy = create_autospec(DeliveryPolicy, instance=True)
         policy.detached = set()
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -72,7 +72,9 @@
     receiver = RecordingReceiver()
     logger = structlog.get_logger()
     registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(used), logger)
-    registry.apply_members([{"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}], whole=True)
+    registry.apply_members(
+        [{"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}], complete=True
+    )
     class_ids = {name: number for number, name in enumerate(TRAFFIC_CLASSES)}
     admission = Admission(POLICY_SETTINGS, class_ids, registry, receiver, log, logger)
     return ListenerStages(ClientListener(("127.0.0.1", 1), used, admission, logger), receiver, log)
@@ -103,7 +105,7 @@
         notifier = unreachable_notifier(write_ahead_log)
         self.pool = ConnectionPool(LIMITS)
         self.registry = EndpointRegistry(["plain"], ["here"], self.pool, logger)
-        self.registry.apply_members(world.members, whole=True)
+        self.registry.apply_members(world.members, complete=True)
         self.recorder = OutcomeRecorder(write_ahead_log, notifier)
         classifier = ResponseClassifier(has_load_reports=True)
         self.runner = AttemptRunner(self.pool, self.registry, classifier, notifier, logger)
