--- a/ashpath/server/delivery/__init__.py
+++ b/ashpath/server/delivery/__init__.py
@@ -1,10 +1,10 @@
-"""Attempts at destinations: from a message that the policy sends to an endpoint, to the outcome it is told.
+"""Delivery of messages: carries the attempts that the policy starts, and reports their outcomes back.
 
-The policy runner calls this package; nothing else starts an attempt. `AttemptRunner` carries each attempt in
+The policy runner calls this package; nothing else starts an attempt. `AttemptRunner` runs each attempt in
 a greenlet of its own over a connection of `ConnectionPool` to an address of `EndpointRegistry`;
-`ResponseClassifier` turns what came back into an outcome, `OutcomeRecorder` writes it to the write-ahead log,
-and the notifiers publish the final states of messages whose clients have gone. It must never decide: which
-message goes where, when, and whether again is the policy's alone. It must never write to an endpoint what the
-write-ahead log does not have yet, and never call the policy itself: it reports to the `AttemptOwner` that
-started the attempt.
+`ResponseClassifier` maps the response or the failure to an outcome, `OutcomeRecorder` writes the outcome to
+the write-ahead log, and the notifiers publish the final states of messages whose clients no longer wait.
+This package makes no delivery decisions: the policy alone decides which message goes where, when, and
+whether it is sent again. This package writes nothing to an endpoint that the write-ahead log does not have
+yet, and never calls the policy itself: it reports to the `AttemptOwner` that started the attempt.
 """
--- a/ashpath/server/delivery/attempt_runner.py
+++ b/ashpath/server/delivery/attempt_runner.py
@@ -1,19 +1,19 @@
-"""Carries attempts: a greenlet each, from a connection over the request to what came back.
+"""Runs each attempt in a greenlet of its own: connects, writes the request and reads the response.
 
-Stages of an attempt, in this order; `Attempt` says how far it came:
+Stages of an attempt, in this order; the fields of `Attempt` record its progress:
 
-| stage | ends it with |
+| stage | errors that end the attempt in this stage |
 | --- | --- |
-| wait for notifications of earlier messages of its ordering key | `PendingNotificationError` |
-| find the address of its endpoint | `EndpointNotListedError` |
+| wait for notifications of earlier messages with the same ordering key | `PendingNotificationError` |
+| look up the address of the endpoint | `EndpointNotListedError` |
 | acquire a connection, idle or new | `ConnectionPoolFullError`, `LocalResourceError`, |
 | | `ConnectError`, `DeadlineBeforeConnectError` |
-| check that it is still valid | `EndpointNotListedError`, `AttemptNotValidError` |
+| check that the attempt is still valid | `EndpointNotListedError`, `AttemptNotValidError` |
 | write the request | `WriteError`, `WriteTimeoutError` |
 | read the response | `ConnectionLostError`, `InvalidResponseError`, `ResponseTimeoutError`, or a response |
-| finish the connection: back to the pool, or closed | |
+| return the connection to the pool, or close it | |
 
-At any stage the policy may cancel it (`AttemptCancelledError`).
+The policy may cancel an attempt at any stage (`AttemptCancelledError`).
 """
 
 from __future__ import annotations
@@ -55,12 +55,12 @@
 from ashpath.server.logs import Logger
 from ashpath.server.timers import now
 
-NOTIFICATION_SHARE = 0.5  # of an attempt's time, for notifications of earlier messages
+NOTIFICATION_SHARE = 0.5  # share of an attempt's time for the wait for notifications
 SECOND = 1e6  # microseconds
 
 
 class AttemptRunner:
-    """Runs attempts; each ends in one call of its owner, whatever happens on the way."""
+    """Runs attempts. Each attempt ends in exactly one call to its owner, also after an unexpected error."""
 
     def __init__(
         self,
@@ -77,26 +77,26 @@
         self.logger = logger
         self.networks = UnreachableNetworks()
         self.credentials: Mapping[int, bytes] = {}
-        """Values of the credential header, by destinations that ask for one."""
+        """Value of the credential header by destination, for destinations that require one."""
 
     def use_credentials(self, credentials: Mapping[int, bytes]) -> None:
-        """For requests that are written from now on."""
+        """Replaces the credentials; requests that are written later use the new ones."""
         self.credentials = credentials
 
     def start(self, attempt: Attempt, owner: AttemptOwner) -> None:
-        """Starts it in a greenlet of its own, to the address that its endpoint has now; does not switch."""
+        """Starts the attempt in a new greenlet, at the current address of its endpoint; does not switch."""
         address = self.registry.addresses.get(attempt.endpoint_id)
         attempt.greenlet = gevent.spawn(self._run, attempt, address, owner)
 
     def _run(self, attempt: Attempt, address: Address | None, owner: AttemptOwner) -> None:
-        if attempt.failure is None:  # else cancelled before it began
+        if attempt.failure is None:  # else the attempt was cancelled before its greenlet ran
             attempt.greenlet_started = True
             self._deliver(attempt, address, owner)
         self._finish(attempt, address, owner)
 
     def _deliver(self, attempt: Attempt, address: Address | None, owner: AttemptOwner) -> None:
-        """All stages up to the response, within the attempt's time. Fills in `response` or `failure`, and
-        raises nothing."""
+        """Runs all stages up to the response, until the attempt's deadline. Sets `response`, `failure` or
+        both; raises nothing."""
         try:
             with Timeout(max(0.0, (attempt.deadline - now()) / SECOND)):
                 self._run_stages(attempt, address, owner)
@@ -109,13 +109,15 @@
             self._take_late_success(attempt)
         except AttemptError as error:
             attempt.failure = error
-        except Exception as error:  # an address that no dial takes, say: its concurrency slot must come back
+        except Exception as error:
+            # An address with an invalid port raises ValueError or OverflowError, for example. The attempt
+            # must end all the same, or its concurrency slot is never released.
             self.logger.exception("unexpected error")
             attempt.failure = ResponseError() if attempt.written else RequestNotWrittenError()
             attempt.failure.__cause__ = error
 
     def _run_stages(self, attempt: Attempt, address: Address | None, owner: AttemptOwner) -> None:
-        """Raises an AttemptError where it cannot go on."""
+        """Runs the stages in order. Raises the AttemptError of the stage that fails."""
         if attempt.ordered:
             self._await_notifications(attempt)
         if address is None:
@@ -126,8 +128,11 @@
         self._read_response(attempt, connection)
 
     def _await_notifications(self, attempt: Attempt) -> None:
-        """Waits for pending notifications of its ordering key, for half of the attempt's time. Guards the
-        order: for those who learn of a final state by notification, an earlier message is not over before."""
+        """Waits until no notification of the message's ordering key is pending.
+
+        A client that learns of final states by notification regards an earlier message as unfinished until
+        its notification arrives; to send a later message before that would break the order. Raises
+        PendingNotificationError after half of the attempt's time."""
         time_left = max(0.0, (attempt.deadline - now()) * NOTIFICATION_SHARE / SECOND)
         with Timeout(time_left, PendingNotificationError()):
             while acknowledged := self.notifier.next_acknowledgement(attempt.message):
@@ -137,7 +142,8 @@
         try:
             connection = self.pool.acquire(attempt.endpoint_id, address)
         except OSError as error:
-            # A fault of this machine taken for an outage of the far end would stop calls to one that is well.
+            # If a fault of this machine counted as an outage of the endpoint, calls to a healthy
+            # endpoint would stop.
             no_route = is_without_route(error) and self.networks.is_local_outage(address)
             if no_route or is_local_fault(error):
                 raise LocalResourceError(str(error)) from error
@@ -147,8 +153,11 @@
         return connection
 
     def _check_valid(self, attempt: Attempt, address: Address, owner: AttemptOwner) -> None:
-        """Guards drains and Retry-After: the connection may have come up long after either was received. Nor
-        is an address valid that the endpoint left meanwhile: another endpoint may have it by now."""
+        """Raises an error if the attempt may not be written any more.
+
+        Connecting may take long. A drain or a Retry-After received in the meantime makes the attempt invalid
+        (AttemptNotValidError). If the endpoint has left its address, another endpoint may have taken the
+        address over (EndpointNotListedError)."""
         if self.registry.addresses.get(attempt.endpoint_id) != address:
             raise EndpointNotListedError
         if not owner.still_valid(attempt.message):
@@ -180,12 +189,12 @@
 
     @staticmethod
     def _take_late_success(attempt: Attempt) -> None:
-        """A 200 that came in the very moment of giving up has delivered the message."""
+        """Uses a 200 that arrived as the attempt timed out or was cancelled: the message was delivered."""
         if attempt.written and attempt.connection is not None:
             attempt.response = attempt.connection.late_success()
 
     def _finish(self, attempt: Attempt, address: Address | None, owner: AttemptOwner) -> None:
-        """Reports the result, and gives the connection back or closes it."""
+        """Reports the result, and returns the connection to the pool or closes it."""
         connection = attempt.connection
         if connection is None:
             self._report(attempt, owner)
@@ -193,9 +202,11 @@
         if isinstance(attempt.failure, WriteError | ConnectionLostError) and not len(connection.buffer):
             self.pool.connection_dropped(attempt.endpoint_id, connection)
         if attempt.response is None or not attempt.response.keep_alive:
-            self.pool.close(connection)  # else a response that came later would be taken for the next one
+            # A late response on a reused connection would be taken for the response to the next request.
+            self.pool.close(connection)
             self._report(attempt, owner)
-        elif connection.body_received():  # before the policy's batch, whose attempts may use this connection
+        elif connection.body_received():
+            # Releases the connection before the report, as attempts of the policy's batch may use it.
             self._finish_response(attempt.endpoint_id, address, connection)
             self._report(attempt, owner)
         else:
@@ -206,13 +217,13 @@
         owner.attempt_finished(attempt, self.classifier.classify(attempt))
 
     def _finish_response(self, endpoint_id: str, address: Address | None, connection: HttpConnection) -> None:
-        """Reads the rest of a response; then the connection is free."""
+        """Reads the rest of a response, then releases the connection."""
         try:
             with Timeout(self.pool.limits.response_write_s):
                 connection.finish_response()
         except (OSError, ConnectionClosedError, ProtocolError, Timeout, AttemptCancelledError):
-            connection.unusable = True  # the last of these: cancelled as the response came
-        if self.registry.addresses.get(endpoint_id) != address:  # gone, or moved, meanwhile
+            connection.unusable = True  # AttemptCancelledError: cancelled while the response arrived
+        if self.registry.addresses.get(endpoint_id) != address:  # the endpoint has left or moved
             connection.unusable = True
         self.pool.release(endpoint_id, connection)
 
--- a/ashpath/server/delivery/attempts.py
+++ b/ashpath/server/delivery/attempts.py
@@ -1,7 +1,8 @@
-"""One attempt at delivering a message: what is known of it on its way, and how it ended.
+"""One attempt to deliver a message: its progress and its result.
 
-The policy runner creates an `Attempt` and hands it to `AttemptRunner.start` together with its `AttemptOwner`;
-each attempt ends in exactly one call of `AttemptOwner.attempt_finished`, whatever happens on the way.
+The policy runner creates an `Attempt` and passes it to `AttemptRunner.start` together with its
+`AttemptOwner`. Each attempt ends in exactly one call of `AttemptOwner.attempt_finished`, also after an
+unexpected error.
 """
 
 from __future__ import annotations
@@ -19,31 +20,31 @@
 
 
 class Attempt(Struct, eq=False):
-    """An attempt on its way: it ends with a `response`, with a `failure`, or with both (a late success)."""
+    """An attempt in progress: it ends with a `response`, with a `failure`, or with both (a late success)."""
 
     message: StoredMessage
     endpoint_id: str
     deadline: int
     """Microseconds of the monotonic clock."""
     timeout: int
-    """Microseconds from its start to its deadline."""
+    """Microseconds from the start of the attempt to its deadline."""
     written: bool = False
-    """The last byte of the request is out, so that it may have run."""
+    """The request was written to its last byte, so the endpoint may have run it."""
     new_connection: bool = False
-    """It is the first request on its connection."""
+    """The request is the first one on its connection."""
     ordered: bool = False
-    """Messages of its ordering key are sent one at a time."""
+    """Messages with the ordering key of this message are sent one at a time."""
     connection: HttpConnection | None = None
-    """What carries it; the runner gives it back to the pool or closes it."""
+    """The connection of the attempt; the runner returns it to the pool or closes it."""
     response: HttpResponse | None = None
     failure: AttemptError | None = None
     greenlet: Greenlet[..., None] | None = None
-    """What carries it, once it was started."""
+    """The greenlet that runs the attempt; None before the start."""
     greenlet_started: bool = False
-    """Its greenlet has run."""
+    """The greenlet has run for the first time; a kill before that would end it without a report."""
 
     def cancel(self) -> None:
-        """Ends it as soon as its greenlet runs again, unless it has ended by then; does not switch."""
+        """Ends the attempt when its greenlet runs next, unless it has ended by then; does not switch."""
         if self.greenlet is None or not self.greenlet_started:
             self.failure = AttemptCancelledError()
         elif self.response is None and self.failure is None:
@@ -55,17 +56,17 @@
 
     outcome: AttemptOutcome
     retry_after: int = 0
-    """Microseconds in which the endpoint wants no further attempt; 0: it named none."""
+    """Microseconds in which the endpoint asks for no further attempt; 0 if it sent no Retry-After."""
     final: bool = False
-    """The message is over with this attempt."""
+    """This attempt is the last one of its message."""
     load_report: LoadReport | None = None
 
 
 class AttemptOwner(Protocol):
-    """Who starts an attempt: it is asked once more before the first byte, and told the end."""
+    """The starter of an attempt: confirms the attempt before its first byte, and receives the result."""
 
     def still_valid(self, message: StoredMessage) -> bool:
-        """Whether the attempt may still be written, now that its connection is up."""
+        """Whether the attempt may still be written, now that its connection is established."""
 
     def attempt_finished(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Called exactly once an attempt, in the attempt's own greenlet."""
+        """Receives the result; called exactly once for each attempt, in the attempt's own greenlet."""
--- a/ashpath/server/delivery/connection_pool.py
+++ b/ashpath/server/delivery/connection_pool.py
@@ -1,16 +1,16 @@
-"""Connections to endpoints: kept while they are of use, never beyond what the descriptors allow.
+"""Pool of connections to endpoints: reuses idle ones, and limits the open ones to the available descriptors.
 
 A connection is in one of three states, and only the pool moves it between them:
 
 | state | entered by | left by |
 | --- | --- | --- |
-| in use | `acquire`: an idle one, or a new one | `release`, `close` |
+| in use | `acquire`: an idle connection, or a new one | `release`, `close` |
 | idle | `release`, if it can carry a further request | `acquire`, `sweep`, `close_idle`, `make_room` |
 | closed | `close`, and `release` if it cannot | |
 
-Whoever acquires a connection owns it until it calls `release` or `close`, exactly once. `open` counts those
-in use and the idle ones. Idle connections are kept by endpoint, not by address: a successor may have the
-address of an endpoint that is gone, whose connections lead nowhere.
+The caller of `acquire` owns the connection, and calls either `release` or `close`, exactly once. `open`
+counts connections in use and idle ones. Idle connections are stored by endpoint, not by address: a new
+endpoint may take the address of one that is gone, and the old connections do not lead to it.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from ashpath.server.http.connection import HttpConnection, open_connection
 from ashpath.server.limits import ServerLimits
 
-TRUSTED_IDLE_FRACTION = 0.8  # of an idle time that ended in a reset: so long is trusted from then on
+TRUSTED_IDLE_FRACTION = 0.8  # of the idle time that ended in a reset: the new idle limit
 
 
 class IdleConnection(NamedTuple):
-    """A connection that carries no request."""
+    """A connection that carries no request, and since when."""
 
     since: float
     """Seconds of the monotonic clock."""
@@ -38,33 +38,33 @@
 
 
 class IdleLimit(NamedTuple):
-    """How long an endpoint keeps idle connections, where that is shorter than it should be."""
+    """How long an endpoint keeps idle connections, if it drops them before the configured limit."""
 
     longest_idle: float
     """Seconds."""
     until: float
-    """Seconds of the monotonic clock at which this is forgotten."""
+    """Seconds of the monotonic clock at which this limit expires."""
 
 
 class ConnectionPool:
-    """Idle connections by endpoint, longest idle first; an endpoint leaves with its last connection."""
+    """Idle connections by endpoint, longest idle first; an endpoint without idle connections has no entry."""
 
     def __init__(self, limits: ServerLimits) -> None:
         self.limits = limits
         self.idle: dict[str, deque[IdleConnection]] = {}
         self.open = 0
-        """Connections in use and idle."""
+        """Number of connections in use and idle."""
         self.idle_limits: dict[str, IdleLimit] = {}
-        """Of endpoints that closed idle connections early; emptied by the sweep."""
+        """By endpoint that dropped idle connections early; the sweep removes expired limits."""
 
     def apply_limits(self, limits: ServerLimits) -> None:
-        """Other limits from now on; connections that are open stay."""
+        """Replaces the limits; open connections stay open."""
         self.limits = limits
 
     def acquire(self, endpoint_id: str, address: Address) -> HttpConnection:
-        """A connection fit for a request: an idle one, else a new one to the address.
+        """Returns a usable idle connection, else a new one to the address.
 
-        Raises ConnectionPoolFullError, and OSError where no connection can be made."""
+        Raises ConnectionPoolFullError, and OSError if the connection fails."""
         connection = self.acquire_idle(endpoint_id)
         if connection is not None:
             return connection
@@ -73,8 +73,10 @@
         return self.connect(address)
 
     def acquire_idle(self, endpoint_id: str) -> HttpConnection | None:
-        """The longest idle one, as it would be the next to be closed; the one used last where the far end
-        closes them early. None if none is fit for a request."""
+        """Returns a usable idle connection, or None; closes the unusable ones that precede it.
+
+        The longest idle connection comes first, as it would be the next to be closed. If the endpoint drops
+        idle connections early, the most recently used one comes first."""
         idle = self.idle.get(endpoint_id)
         while idle:
             since, connection = idle.pop() if endpoint_id in self.idle_limits else idle.popleft()
@@ -87,7 +89,7 @@
         return None
 
     def connect(self, address: Address) -> HttpConnection:
-        """A new connection, in use. Raises OSError."""
+        """Returns a new connection, in use. Raises OSError if the connection fails."""
         self.open += 1
         try:
             return open_connection(address, self.limits)
@@ -96,14 +98,14 @@
             raise
 
     def release(self, endpoint_id: str, connection: HttpConnection) -> None:
-        """Gives it back: it is idle from now on, or closed if it can carry no further request."""
+        """Makes a connection idle, or closes it if it cannot carry a further request."""
         if connection.unusable or len(connection.buffer):
             self.close(connection)
         else:
             self.idle.setdefault(endpoint_id, deque()).append(IdleConnection(monotonic(), connection))
 
     def close(self, connection: HttpConnection) -> None:
-        """Closes one that is in use or has just been taken from the idle ones."""
+        """Closes a connection that is in use or has just been removed from the idle ones."""
         connection.close()
         self.open -= 1
 
@@ -113,7 +115,7 @@
             self.close(idle.connection)
 
     def make_room(self) -> bool:
-        """Whether one more may be open, if need be in place of the longest idle one, which is closed."""
+        """Whether one more connection may be opened; at the limit, closes the longest idle one first."""
         if self.open >= self.limits.endpoint_connections and self.idle:
             endpoint_id = min(self.idle, key=lambda endpoint_id: self.idle[endpoint_id][0].since)
             self.close(self.idle[endpoint_id].popleft().connection)
@@ -122,13 +124,15 @@
         return self.open < self.limits.endpoint_connections
 
     def idle_limit(self, endpoint_id: str) -> float:
-        """Seconds that connections of the endpoint may be idle before they are closed."""
+        """Returns the seconds for which connections of the endpoint may be idle before they are closed."""
         limit = self.idle_limits.get(endpoint_id)
         return self.limits.endpoint_idle_s if limit is None else limit.longest_idle
 
     def connection_dropped(self, endpoint_id: str, connection: HttpConnection) -> None:
-        """Reset without a byte of a response. Guards against far ends that drop idle connections sooner than
-        they should, and say nothing: so long a silence is not trusted again for a while."""
+        """Shortens the endpoint's idle limit after a connection was lost without a byte of a response.
+
+        Some endpoints drop idle connections early and without a FIN; the next request on such a connection is
+        lost. For `idle_distrust_s`, connections of the endpoint are closed after a shorter idle time."""
         shortest = self.limits.min_endpoint_idle_s
         if connection.idle_before_use_s > shortest:
             trusted = min(self.idle_limit(endpoint_id), TRUSTED_IDLE_FRACTION * connection.idle_before_use_s)
@@ -136,14 +140,14 @@
             self.idle_limits[endpoint_id] = IdleLimit(max(shortest, trusted), until)
 
     def sweep(self) -> None:
-        """Closes what has been idle for long or was closed or written to by the far end."""
+        """Closes idle connections past their limit, and those that the endpoint has closed or written to."""
         now = monotonic()
         self.idle_limits = {
             endpoint_id: limit for endpoint_id, limit in self.idle_limits.items() if limit.until > now
         }
         for endpoint_id in list(self.idle):
             kept = deque[IdleConnection]()
-            # The next sweep would be too late.
+            # Closes now what would exceed its limit before the next sweep.
             oldest = now - self.idle_limit(endpoint_id) + self.limits.pool_sweep_s
             for idle in self.idle.pop(endpoint_id):
                 young = idle.since > min(oldest, now - self.limits.min_endpoint_idle_s)
@@ -155,7 +159,7 @@
                 self.idle[endpoint_id] = kept
 
     def run(self) -> None:
-        """Sweeps until its greenlet is killed."""
+        """Sweeps every `pool_sweep_s` until its greenlet is killed."""
         while True:
             gevent.sleep(self.limits.pool_sweep_s)
             self.sweep()
--- a/ashpath/server/delivery/endpoint_registry.py
+++ b/ashpath/server/delivery/endpoint_registry.py
@@ -1,7 +1,7 @@
-"""Knows where endpoints are, and turns members of the endpoint list into records of the policy's interface.
+"""Stores the addresses of endpoints, and converts members of the endpoint list to the policy's records.
 
-Discovery hands in members as they came (JSON); what a listing changed comes back as a `MembershipChange`,
-which `EndpointMembership` passes on to the policy.
+Discovery passes members as decoded JSON; the registry returns the changes as a `MembershipChange`, which
+`EndpointMembership` passes on to the policy.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from ashpath.server.logs import Logger
 
 EndpointMember = Mapping[str, Any]
-"""One member of the endpoint list, as the JSON of the directory or of a configuration has it."""
+"""One member of the endpoint list: a decoded JSON object of service discovery or of a configuration."""
 
 NO_ADDRESS: Address = ("", 0)
 
 
 class MembershipChange(Struct, frozen=True):
-    """What a listing changed."""
+    """The result of applying an endpoint list or an update of it."""
 
     records: list[EndpointRecord]
-    """Members that could be read, in the order of the listing."""
+    """Members that could be read, in the order of the list."""
     complete: bool
-    """They take the place of all that was listed before."""
+    """`records` replace all that were listed before; otherwise they update the list."""
     unreadable: int
-    """Members that could not be read, each logged."""
+    """Number of members that could not be read; each is logged."""
 
 
 class EndpointRegistry:
-    """The endpoints as last listed. `kinds` and `zones` are the names of the settings, in their order."""
+    """The endpoints as last listed. `kinds` and `zones` are the names in the settings, in their order."""
 
     def __init__(self, kinds: list[str], zones: list[str], pool: ConnectionPool, logger: Logger) -> None:
         self.kinds = kinds
@@ -44,25 +44,26 @@
         self.pool = pool
         self.logger = logger
         self.addresses: dict[str, Address] = {}
-        """Of listed endpoints: one leaves as it drains, is removed, or a whole list lacks it."""
+        """Address by endpoint, for active endpoints. An endpoint leaves as it drains, is removed, or is
+        absent from a complete list."""
         self.listed: dict[str, int] = {}
-        """The destination of each of them."""
+        """Destination by endpoint, for the same endpoints as `addresses`."""
         self.served_destinations: dict[int, float] = {}
-        """When each destination last had a listed endpoint, in seconds of the monotonic clock."""
+        """When each destination last had an active endpoint, in seconds of the monotonic clock."""
         self.records: dict[str, EndpointRecord] = {}
-        """Every endpoint as last listed, of any status."""
+        """Record by endpoint as last listed, of any status."""
 
     def configure(self, kinds: list[str], zones: list[str]) -> None:
-        """New names, for listings from now on."""
+        """Replaces the names for lists that are applied later."""
         self.kinds = kinds
         self.zones = zones
 
     def serves(self, destination: int) -> bool:
-        """Whether the destination has a listed endpoint, or had one a short while ago."""
+        """Whether the destination has an active endpoint, or had one within `forget_destination_s`."""
         return destination in self.served_destinations
 
     def apply_members(self, members: Sequence[EndpointMember], *, complete: bool) -> MembershipChange:
-        """Takes a listing: the whole one, or changes. Idle connections to addresses that are gone close."""
+        """Applies a complete endpoint list or an update; closes idle connections to addresses that left."""
         read = self._read(members)
         addresses_before = dict(self.addresses)
         if complete:
@@ -84,12 +85,12 @@
         return MembershipChange(records, complete, unreadable=len(members) - len(records))
 
     def _read(self, members: Sequence[EndpointMember]) -> list[tuple[EndpointRecord, Address]]:
-        """The members that can be read: a bad one must not hide the others."""
+        """Returns the members that can be read; logs and skips the others."""
         found = []
         for member in members:
             try:
                 record = self.parse_member(member)
-                # Of one that leaves the address is no matter: a drain counts however its member is spoilt.
+                # An endpoint that leaves needs no address: a drain applies even if the address is unreadable.
                 active = record.status is EndpointStatus.ACTIVE
                 address = parse_address(member["host_port"]) if active else NO_ADDRESS
                 found.append((record, address))
@@ -101,7 +102,9 @@
         self.logger.error("endpoint record not read", line=str(member), error=repr(error))
 
     def _update_served_destinations(self) -> None:
-        """A destination is kept for some time, as an endpoint's successor may be listed only after it."""
+        """Keeps a destination without endpoints for `forget_destination_s`.
+
+        The successor of an endpoint may be listed only after the endpoint has left."""
         now = monotonic()
         kept = {
             destination: listed_at
@@ -111,10 +114,10 @@
         self.served_destinations = kept | dict.fromkeys(self.listed.values(), now)
 
     def parse_member(self, member: EndpointMember) -> EndpointRecord:
-        """Raises KeyError, TypeError or ValueError where it cannot be read."""
+        """Converts a member to a record. Raises KeyError, TypeError or ValueError if it cannot be read."""
         endpoint_id = member["id"]
         if not isinstance(endpoint_id, str):
-            reason = f"an id that is no text: {endpoint_id!r:.60}"
+            reason = f"endpoint id is not a string: {endpoint_id!r:.60}"
             raise TypeError(reason)
         return EndpointRecord(
             endpoint_id=endpoint_id,
@@ -127,5 +130,5 @@
 
     @staticmethod
     def _index_or_first(known: Sequence[object], name: object) -> int:
-        """Lists and settings name kinds and zones alike; a name not in the settings counts as the first."""
+        """Returns the index of a kind or zone in the settings; an unknown name counts as the first."""
         return known.index(name) if name in known else 0
--- a/ashpath/server/delivery/errors.py
+++ b/ashpath/server/delivery/errors.py
@@ -1,7 +1,7 @@
-"""Why an attempt has no response: one type a cause.
+"""Errors of delivery: one type for each cause that leaves an attempt without a response.
 
 Each `AttemptError` is stored in `Attempt.failure`; the classifier maps its direct subclasses to outcomes.
-What this package raises to its callers derives from `DeliveryError`.
+All errors that this package raises to its callers derive from `DeliveryError`.
 """
 
 
@@ -10,43 +10,43 @@
 
 
 class AttemptError(DeliveryError):
-    """An attempt has no response. Its direct subclasses say what that proves."""
+    """An attempt has no response. Its direct subclasses tell whether the request may have run."""
 
 
 class AttemptCancelledError(AttemptError):
-    """The policy cancelled the attempt; thrown into the greenlet that carries it."""
+    """The policy cancelled the attempt; raised in the greenlet that runs it."""
 
 
 class NotSentError(AttemptError):
-    """Nothing was written, and the endpoint is not to blame."""
+    """Nothing was written, for a reason that does not lie with the endpoint."""
 
 
 class EndpointNotListedError(NotSentError):
-    """The endpoint had no address as the attempt started, or has left that address since."""
+    """The endpoint had no address when the attempt started, or has left that address since."""
 
 
 class AttemptNotValidError(NotSentError):
-    """The policy withdrew its permission before the first byte: a drain, or a Retry-After in between."""
+    """A drain or a Retry-After made the attempt invalid before its first byte was written."""
 
 
 class PendingNotificationError(NotSentError):
-    """Half of the attempt's time went by without notification of an earlier message of its ordering key."""
+    """A notification for the same ordering key was still pending after half of the attempt's time."""
 
 
 class DeadlineBeforeConnectError(NotSentError):
-    """The attempt's time ran out before a connect timeout did: that proves nothing of the endpoint."""
+    """The attempt's deadline passed before the connect timeout, which proves nothing about the endpoint."""
 
 
 class LocalFaultError(AttemptError):
-    """Nothing was written, as something of this machine ran out for a moment: nobody is to blame."""
+    """Nothing was written, because this machine lacked a resource: no fault of the endpoint."""
 
 
 class ConnectionPoolFullError(LocalFaultError):
-    """All connections to endpoints that the process may have are in use."""
+    """The process has as many connections to endpoints in use as its limit allows."""
 
 
 class LocalResourceError(LocalFaultError):
-    """The machine has no descriptor, buffer, local address or route left for a connection."""
+    """This machine has no descriptor, buffer, local address or route for a connection."""
 
 
 class RequestNotWrittenError(AttemptError):
@@ -62,20 +62,20 @@
 
 
 class WriteTimeoutError(RequestNotWrittenError):
-    """The attempt's time ran out while the request was written."""
+    """The attempt's deadline passed while the request was written."""
 
 
 class ResponseTimeoutError(AttemptError):
-    """The request was written, and no response came within the attempt's time: it may have run."""
+    """The request was written, and no response came before the deadline: the request may have run."""
 
 
 class ResponseError(AttemptError):
-    """The request was written, and its response was lost: it may have run."""
+    """The request was written, and its response was lost: the request may have run."""
 
 
 class ConnectionLostError(ResponseError):
-    """The endpoint closed or reset the connection before its response was whole."""
+    """The endpoint closed or reset the connection before its response was complete."""
 
 
 class InvalidResponseError(ResponseError):
-    """What came back is no response that HTTP allows."""
+    """The endpoint sent bytes that are not a valid HTTP response."""
--- a/ashpath/server/delivery/file_notifier.py
+++ b/ashpath/server/delivery/file_notifier.py
@@ -1,7 +1,8 @@
-"""Writes notifications to a file, a line of JSON each, for senders without a platform.
+"""Appends notifications to a file, one line of JSON each, for senders without a platform.
 
-A batch that cannot be written stays pending, and is tried again. A kill between a line and the write-ahead
-log's record of it repeats the line: the same id, the same status.
+A batch that cannot be written stays pending and is tried again. If the process is killed after it has
+written a line and before the write-ahead log records that, it writes the line again after the restart, with
+the same id and status.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
         self.file = file
         self.limits = limits
         self.logger = logger
-        self.failing = False  # the last write failed, and that was logged
+        self.failing = False  # the last write failed and its error was logged
 
     def run(self) -> None:
-        """Writes until the process ends."""
+        """Writes pending notifications until the process ends."""
         self.failing = False
         while True:
             batch = self.wait_for_batch(self.limits.notification_batch)
@@ -42,13 +43,13 @@
                 self.write_succeeded(batch)
 
     def write_failed(self, error: OSError) -> None:
-        """Logs the first failure in a row."""
+        """Logs the first of consecutive failures."""
         if not self.failing:
             self.logger.error("notifications not written", error=str(error), pending=len(self.pending))
         self.failing = True
 
     def write_succeeded(self, batch: list[StoredMessage]) -> None:
-        """Logs the end of a failure, and lets go of the batch."""
+        """Acknowledges the batch; logs if the write before it failed."""
         if self.failing:
             self.logger.info("notifications written again", pending=len(self.pending))
         self.failing = False
--- a/ashpath/server/delivery/http_notifier.py
+++ b/ashpath/server/delivery/http_notifier.py
@@ -1,15 +1,15 @@
-"""Sends notifications by POST until the receiver has them: the platform's agent, or a configured address.
-
-Each call carries a batch of lines, the oldest ones first, over one kept connection.
-
-| the receiver's answer         | what is done                                                         |
-| ----------------------------- | -------------------------------------------------------------------- |
-| 204 or 200                    | the batch is acknowledged                                            |
-| 400 to a batch of several     | each line goes alone, until one is acknowledged: one that cannot be  |
-|                               | read must not hold up the rest                                       |
-| 400 to a line that goes alone | it is logged, and dropped as if it were acknowledged                 |
-| anything else, or none        | the batch is sent again after a backoff, a short one: a notification |
-|                               | is due within a time                                                 |
+"""Sends notifications by POST to the platform's agent or to a configured address, until acknowledged.
+
+Each call carries a batch of lines, the oldest first, over one persistent connection.
+
+| response of the receiver    | action of the notifier                                                    |
+| --------------------------- | ------------------------------------------------------------------------- |
+| 204 or 200                  | acknowledges the batch                                                    |
+| 400 to a batch of several   | sends each line alone until one is acknowledged: one line that the        |
+|                             | receiver cannot read must not block the others                            |
+| 400 to a single line        | logs the line, and drops it as if it were acknowledged                    |
+| another status, or none     | sends the batch again after a backoff; the backoff is short, as a         |
+|                             | notification is due within a time limit                                   |
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 
 class NotificationReceiver(Struct, frozen=True):
-    """Where notifications are sent."""
+    """The address, path and headers to which notifications are sent."""
 
     address: Address
     path: bytes = wire_names.NOTIFICATION_PATH
-    headers: Headers = ()  # of each call, beside `Host`: credentials
+    headers: Headers = ()  # credentials, sent with each call in addition to `Host`
 
 
 class HttpNotifier(PendingNotifications):
@@ -57,28 +57,28 @@
         self.limits = limits
         self.logger = logger
         self.backoff = backoff
-        self.max_batch = limits.notification_batch  # messages; 1 while a line that cannot be read is sought
+        self.max_batch = limits.notification_batch  # messages; 1 after a 400, to isolate the unreadable line
 
     def move(self, receiver: NotificationReceiver) -> None:
-        """Sends there from now on: a call that is in flight fails, and is made again there."""
+        """Replaces the receiver; a call in flight fails and is repeated at the new receiver."""
         self.receiver = receiver
         self.connection.move(receiver.address)
 
     def run(self) -> None:
-        """Sends until the process ends."""
+        """Sends pending notifications until the process ends."""
         self.max_batch = self.limits.notification_batch
         while True:
             batch = self.wait_for_batch(self.max_batch)
             self.handle_response(self.post(batch), batch)
 
     def post(self, batch: list[StoredMessage]) -> HttpResponse | None:
-        """The receiver's answer, or None where none came in time."""
+        """Sends the batch; returns the response, or None if none arrived within `notification_s`."""
         request_line = b"POST %s HTTP/1.1" % self.receiver.path
         body = encode_batch(batch)
         return self.connection.call(request_line, body, self.limits.notification_s, self.receiver.headers)
 
     def handle_response(self, response: HttpResponse | None, batch: list[StoredMessage]) -> None:
-        """See the table above."""
+        """Handles the response to a batch as the table of this module says."""
         if response is not None and response.status in ACKNOWLEDGED_STATUSES:
             self.batch_acknowledged(batch)
         elif response is None or response.status != UNREADABLE_STATUS:
@@ -90,7 +90,7 @@
             self.batch_acknowledged(batch)
 
     def batch_acknowledged(self, batch: list[StoredMessage]) -> None:
-        """Lets go of the batch; the next may be a whole one again."""
+        """Acknowledges the batch; restores the batch size and resets the backoff."""
         self.acknowledge(batch)
         self.max_batch = self.limits.notification_batch
         self.backoff.reset()
--- a/ashpath/server/delivery/notifier.py
+++ b/ashpath/server/delivery/notifier.py
@@ -1,10 +1,10 @@
-"""Notifications of messages that were accepted and will not be delivered: the interface, what is pending.
+"""Notifications of messages that were accepted and will not be delivered: interface and pending queue.
 
-A message that ends after its 202, rejected or failed, is owed a notification. It stays in the write-ahead log
-until its receiver has the notification, so that a kill repeats it and never loses it. Three notifiers differ
-in the receiver: `http_notifier` (the platform's agent, or an address), `file_notifier` (a file), and
-`NullNotifier` (nobody). Where there is one, messages of the same ordering key wait for it: see
-`next_acknowledgement`.
+A message that is rejected or fails after its 202 requires a notification. The message stays in the
+write-ahead log until the receiver acknowledges the notification, so that a kill may repeat the notification
+but never loses it. There are three notifiers, by receiver: `http_notifier` (the platform's agent or a
+configured address), `file_notifier` (a file) and `NullNotifier` (no receiver). Later messages with the same
+ordering key wait for a pending notification: see `next_acknowledgement`.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def encode_notification(message: StoredMessage, status: str, retry_after_ms: int = 0) -> str:
-    """The line of JSON that notifies of a message's end; its names are those of the protocol.
+    """Returns the JSON line that reports a final state, with the field names of the protocol.
 
     >>> encode_notification(StoredMessage(1, "9b1f", 0, 0, None, None, 0, b""), "deferred", 500)
     '{"id":"9b1f","status":"deferred","again_ms":500}'
@@ -33,49 +33,49 @@
 
 
 class Notifier(Protocol):
-    """Notifies of messages that ended after their 202, and then lets the write-ahead log forget them."""
+    """Notifies of messages that ended after their 202, then marks them finished in the write-ahead log."""
 
     @property
     def has_pending(self) -> bool:
-        """Whether a notification is still to be sent, or to be acknowledged."""
+        """Whether any notification is not acknowledged yet."""
         ...
 
     def add(self, message: StoredMessage) -> None:
-        """Takes on a message that has ended; its `notice` is the line to send."""
+        """Adds a message that has ended; its `notice` is the line to send."""
         ...
 
     def next_acknowledgement(self, message: StoredMessage) -> Event | None:
-        """What the next acknowledgement sets, where a notification of `message`'s ordering key is pending."""
+        """Returns the event of the next acknowledgement if a notification of this ordering key is pending."""
         ...
 
     def run(self) -> None:
-        """Sends until the process ends."""
+        """Sends pending notifications until the process ends."""
         ...
 
 
 class PendingNotifications:
-    """What is not acknowledged yet, oldest first: a message leaves as its notification is acknowledged.
+    """Messages whose notifications are not acknowledged yet, oldest first.
 
-    What the notifiers with a receiver have in common: each adds `run`."""
+    Base class of the notifiers that have a receiver; each subclass adds `run`."""
 
     def __init__(self, write_ahead_log: WriteAheadLog) -> None:
         self.write_ahead_log = write_ahead_log
         self.pending: OrderedDict[StoredMessage, None] = OrderedDict()
         self.not_empty = Event()
-        self.acknowledged = Event()  # cleared by who begins to wait for it
+        self.acknowledged = Event()  # cleared by `next_acknowledgement`
 
     @property
     def has_pending(self) -> bool:
-        """Whether one is not acknowledged yet."""
+        """Whether any notification is not acknowledged yet."""
         return bool(self.pending)
 
     def add(self, message: StoredMessage) -> None:
-        """One more; the call does not wait."""
+        """Adds a message that has ended; does not block."""
         self.pending[message] = None
         self.not_empty.set()
 
     def wait_for_batch(self, max_messages: int) -> list[StoredMessage]:
-        """The oldest ones, at least one and at most `max_messages`. They stay pending."""
+        """Waits for a pending message; returns up to `max_messages` of the oldest, which stay pending."""
         while True:
             self.not_empty.wait()
             batch = list(islice(self.pending, max_messages))
@@ -84,14 +84,14 @@
             self.not_empty.clear()
 
     def acknowledge(self, batch: list[StoredMessage]) -> None:
-        """The receiver has them."""
+        """Removes messages whose notifications the receiver has acknowledged."""
         for message in batch:
             del self.pending[message]
             self.write_ahead_log.record_finished(message)
         self.acknowledged.set()
 
     def next_acknowledgement(self, message: StoredMessage) -> Event | None:
-        """What the next acknowledgement sets, where a notification of `message`'s ordering key is pending."""
+        """Returns the event of the next acknowledgement if a notification of this ordering key is pending."""
         if any(message.ordering_key == other.ordering_key for other in self.pending):
             self.acknowledged.clear()
             return self.acknowledged
@@ -99,12 +99,12 @@
 
 
 def encode_batch(batch: list[StoredMessage]) -> bytes:
-    """A line for each."""
+    """Returns the notifications of the batch, one line for each."""
     return "".join(f"{message.notice}\n" for message in batch).encode()
 
 
 class NullNotifier:
-    """Nobody is notified: the status API answers who asks for a message's end."""
+    """Notifies nobody; clients learn of final states from the status API."""
 
     has_pending = False
 
@@ -112,12 +112,12 @@
         self.write_ahead_log = write_ahead_log
 
     def add(self, message: StoredMessage) -> None:
-        """Lets the write-ahead log forget it at once."""
+        """Marks the message finished in the write-ahead log at once."""
         self.write_ahead_log.record_finished(message)
 
     def next_acknowledgement(self, message: StoredMessage) -> None:
-        """Nothing is ever waited for."""
+        """Returns None: no notification is ever pending."""
 
     def run(self) -> None:
-        """Nothing is ever sent."""
+        """Blocks until the process ends; sends nothing."""
         Event().wait()
--- a/ashpath/server/delivery/outcome_recorder.py
+++ b/ashpath/server/delivery/outcome_recorder.py
@@ -1,9 +1,9 @@
-"""Writes outcomes to the write-ahead log, and says who learns of a message's final state.
+"""Writes outcomes to the write-ahead log, and reports the final states of messages.
 
-| final state | the client still waits (within `submission`) | it does not |
+| final state | reported while the client waits (within `submission`) | reported later |
 | --- | --- | --- |
-| rejected, failed | the result of the submission | the outcome store and the notifier |
-| delivered, cancelled | cannot be: the batch of a submission sends only after it | the outcome store |
+| rejected, failed | by the result of the submission | to the outcome store and the notifier |
+| delivered, cancelled | impossible: attempts start after the batch of the submission | to the outcome store |
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class SubmitDecision(Enum):
-    """What became of a message in the batch of its submission."""
+    """The policy's decision on a message in the batch of its submission."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -32,18 +32,18 @@
 
 
 class SubmitResult(Struct, frozen=True):
-    """The policy's decision on a submitted message, for the client that waits for it."""
+    """The result of a submission, for the client that waits for it."""
 
     decision: SubmitDecision
     retry_after: int = 0
-    """REJECTED: microseconds until it is harmless to submit it again."""
+    """For REJECTED: microseconds after which the client may submit the message again."""
 
 
 ACCEPTED = SubmitResult(SubmitDecision.ACCEPTED)
 
 
 class Submission:
-    """A message whose client waits for the result, within `with`: it is final once the batch is over."""
+    """A message whose client waits for `result`, which is final at the end of the `with` block."""
 
     __slots__ = ("message", "recorder", "result")
 
@@ -61,27 +61,27 @@
 
 
 class FinalStateStore(Protocol):
-    """Who keeps final states for clients that ask."""
+    """A store of final states, for clients that ask the status API."""
 
     def add(self, trace_id: str, state: FinalState, retry_after: int = 0) -> None:
-        """Keeps one, with microseconds of a Retry-After."""
+        """Stores the final state of a message; `retry_after` in microseconds."""
 
 
 class DeliveryMetrics(Protocol):
-    """Who counts what happens, where somebody reads it."""
+    """Counters of messages and attempts."""
 
     def message_accepted(self, traffic_class: int) -> None:
-        """A message of that traffic class was accepted."""
+        """Counts an accepted message of the traffic class."""
 
     def message_finished(self, traffic_class: int, state: FinalState) -> None:
-        """A message of that traffic class has its final state."""
+        """Counts a message of the traffic class by its final state."""
 
     def attempt_finished(self, outcome: AttemptOutcome, took_us: int) -> None:
-        """An attempt ended after so many microseconds."""
+        """Counts an attempt that took `took_us` microseconds."""
 
 
 class OutcomeRecorder:
-    """Records outcomes of attempts and final states of messages, in the order they come about."""
+    """Records outcomes of attempts and final states of messages, in the order in which they occur."""
 
     def __init__(
         self,
@@ -94,20 +94,22 @@
         self.outcome_store = outcome_store
         self.metrics: DeliveryMetrics | None = None
         self.current_submission: Submission | None = None
-        """Whose client waits for its result at this moment."""
+        """The submission whose client waits for its result now."""
 
     def use_metrics(self, metrics: DeliveryMetrics | None) -> None:
-        """Counts there from now on; None: nobody reads counts."""
+        """Replaces the metrics; None stops counting."""
         self.metrics = metrics
 
     def submission(self, message: StoredMessage) -> Submission:
-        """Opened around the batch of a submission: a final state within it is the submission's result."""
+        """Counts the message, and returns the context in which the batch of its submission runs.
+
+        A final state of the message within the context is the result of the submission."""
         if self.metrics is not None:
             self.metrics.message_accepted(message.traffic_class)
         return Submission(self, message)
 
     def record_attempt(self, message: StoredMessage, result: AttemptResult) -> None:
-        """An attempt ended: its outcome, and the end of the message where it is final."""
+        """Records the outcome of an attempt, and the final state of the message if the result is final."""
         if result.final:
             delivered = result.outcome is AttemptOutcome.DELIVERED
             state = FinalState.DELIVERED if delivered else FinalState.CANCELLED
@@ -117,27 +119,27 @@
             self.write_ahead_log.record_outcome(message, may_have_run=result.outcome not in NEVER_RAN)
 
     def count_attempt(self, outcome: AttemptOutcome, duration: int) -> None:
-        """An attempt ended after so many microseconds, for the metrics alone."""
+        """Counts an attempt in the metrics; `duration` in microseconds."""
         if self.metrics is not None:
             self.metrics.attempt_finished(outcome, duration)
 
     def record_rejected(self, message: StoredMessage, retry_after: int) -> None:
-        """Final: harmless to submit again after `retry_after` microseconds."""
+        """Records the final state REJECTED; clients may submit again after `retry_after` microseconds."""
         result = SubmitResult(SubmitDecision.REJECTED, retry_after)
         line = encode_notification(message, FinalState.REJECTED, retry_after // MILLISECOND)
         self._finish(message, result, FinalState.REJECTED, line)
 
     def record_failed(self, message: StoredMessage) -> None:
-        """Final: not delivered, as far as is known."""
+        """Records the final state FAILED: the message was not delivered as far as the sender knows."""
         line = encode_notification(message, FinalState.FAILED)
         self._finish(message, SubmitResult(SubmitDecision.FAILED), FinalState.FAILED, line)
 
     def record_cancelled(self, message: StoredMessage) -> None:
-        """Its client has left before it was told that the message was accepted."""
+        """Stores the final state CANCELLED: the client disconnected before the 202 was sent."""
         self._store_final_state(message, FinalState.CANCELLED)
 
     def _finish(self, message: StoredMessage, result: SubmitResult, state: FinalState, line: str) -> None:
-        """Reported to the client that still waits, else by a notification."""
+        """Reports a final state to the waiting client, else to the outcome store and by a notification."""
         submission = self.current_submission
         if submission is not None and message is submission.message:
             submission.result = result
@@ -150,7 +152,10 @@
             self.notifier.add(message)
 
     def _store_final_state(self, message: StoredMessage, state: FinalState, retry_after: int = 0) -> None:
-        """Before the write-ahead log forgets the message: a kill in between leaves both."""
+        """Stores a final state for clients that ask.
+
+        Called before the write-ahead log records the end of the message: a kill between the two leaves the
+        state in both and does not lose it."""
         if self.outcome_store is not None:
             self.outcome_store.add(message.trace_id, state, retry_after)
         if self.metrics is not None:
--- a/ashpath/server/delivery/response_classifier.py
+++ b/ashpath/server/delivery/response_classifier.py
@@ -1,13 +1,13 @@
-"""Turns what came back from an endpoint, or did not, into an outcome of the policy's interface.
+"""Maps the response to an attempt, or its failure, to an outcome of the policy's interface.
 
-It has no state and does nothing else: the same attempt has the same result each time.
+The classifier is stateless and has no side effects: the same attempt always has the same result.
 
-| what came back | outcome |
+| response | outcome |
 | --- | --- |
 | a response | by its status, `STATUS_OUTCOMES`; any other status: ERROR |
-| 503 with `x-egress-full: 1` | NOT_SENT: it was not passed on |
-| 503 that closes its connection after the first request on it | CONNECTION_TABLE_FULL |
-| nothing | by the type of the failure, `FAILURE_OUTCOMES` |
+| 503 with `x-egress-full: 1` | NOT_SENT: the request was not forwarded |
+| 503 to the first request on a connection that closes the connection | CONNECTION_TABLE_FULL |
+| none | by the type of the failure, `FAILURE_OUTCOMES` |
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 )
 from ashpath.server.http.messages import HttpResponse
 
-# A status that the protocol does not name says nothing of whether the request ran: an error.
+# A status that the protocol does not define does not tell whether the request ran, and counts as ERROR.
 STATUS_OUTCOMES = {
     200: AttemptOutcome.DELIVERED,
     410: AttemptOutcome.NOT_SENT,
@@ -47,11 +47,11 @@
 REMAINING_QUOTA_FIELD = b"x0"
 RATE_LIMIT_FIELD = b"x1"
 MICROSECONDS_PER_SECOND = 1e6
-HEADER_NUMBER_LIMIT = 1e6  # a header with more than that cannot be meant
+HEADER_NUMBER_LIMIT = 1e6  # a larger number in a header counts as invalid
 
 
 def parse_number(text: bytes | None) -> float | None:
-    """A number of a header or a load report; none where there is none, or one that cannot be meant.
+    """Parses a number of a header or load report; returns None if absent, not a number or out of range.
 
     >>> [parse_number(text) for text in (b"0.25", b"soon", None, b"nan", b"-1")]
     [0.25, None, None, None, None]
@@ -64,13 +64,13 @@
 
 
 class ResponseClassifier:
-    """`has_load_reports`: responses may report the rate limit of their destination."""
+    """Classifies attempts. `has_load_reports`: responses may report the rate limit of their destination."""
 
     def __init__(self, *, has_load_reports: bool) -> None:
         self.has_load_reports = has_load_reports
 
     def classify(self, attempt: Attempt) -> AttemptResult:
-        """The result of an attempt that has ended. A response counts before a failure."""
+        """Returns the result of an attempt that has ended. A response takes precedence over a failure."""
         response = attempt.response
         if response is None:
             return AttemptResult(self._failure_outcome(attempt.failure))
@@ -87,7 +87,7 @@
         for error_type, outcome in FAILURE_OUTCOMES:
             if isinstance(failure, error_type):
                 return outcome
-        reason = f"no outcome of {failure!r}"
+        reason = f"no outcome defined for failure {failure!r}"
         raise TypeError(reason)
 
     @staticmethod
@@ -96,13 +96,13 @@
             if response.headers.get(wire_names.EGRESS_FULL_HEADER, b"") == b"1":
                 return AttemptOutcome.NOT_SENT
             if new_connection and not response.keep_alive:
-                # Guards against a full connection table taken for a concurrency limit or for a destination
-                # that is down: the first request on a connection is rejected together with it.
+                # An endpoint with a full connection table rejects the first request on a connection and
+                # closes the connection: neither a concurrency limit nor an outage of the destination.
                 return AttemptOutcome.CONNECTION_TABLE_FULL
         return STATUS_OUTCOMES.get(response.status, AttemptOutcome.ERROR)
 
     def load_report(self, response: HttpResponse) -> LoadReport | None:
-        """The rate limit that `TEXT x0=0.4, x1=25` reports; a rate of 0 stands for none."""
+        """Parses a report such as `TEXT x0=0.4, x1=25`; None if absent, incomplete or with a rate of 0."""
         report = response.headers.get(wire_names.LOAD_REPORT_HEADER)
         if not self.has_load_reports or report is None:
             return None
@@ -111,5 +111,5 @@
         remaining_quota = values.get(REMAINING_QUOTA_FIELD)
         rate_limit = values.get(RATE_LIMIT_FIELD)
         if remaining_quota is None or not rate_limit:
-            return None  # half a report tells nothing: a quota of 0 would stop all attempts
+            return None  # a missing quota read as 0 would stop all attempts
         return LoadReport(min(remaining_quota, 1.0), rate_limit)
--- a/ashpath/server/delivery/rotating_file.py
+++ b/ashpath/server/delivery/rotating_file.py
@@ -1,6 +1,7 @@
-"""A file of lines that is set aside when it is full.
+"""An append-only file of lines with rotation by size.
 
-The standard library's rotating handler keeps what it could not write in a buffer and writes it twice.
+The rotating handler of the standard library is not used: it keeps data that it failed to write in a buffer,
+and writes that data twice.
 """
 
 from __future__ import annotations
@@ -15,39 +16,39 @@
 
 
 class RotatingFile:
-    """A full file becomes `.1`, that one `.2`, and the last of `kept_files` is dropped.
+    """A full file is renamed to `.1`, the former `.1` to `.2`; the last of `kept_files` is deleted.
 
-    `max_bytes`: of each file; one append that is longer has a file of its own."""
+    `max_bytes`: limit of each file; a single append beyond it gets a file of its own."""
 
     def __init__(self, path: Path, max_bytes: int, kept_files: int) -> None:
-        """Raises OSError where the file cannot be opened."""
+        """Opens the file. Raises OSError if it cannot be opened."""
         self.path = path
         self.max_bytes = max_bytes
         self.kept_files = kept_files
         self.open()
 
     def open(self) -> None:
-        """Opens the current file behind what is in it. Raises OSError."""
+        """Opens the current file for appending. Raises OSError if it cannot be opened."""
         self.descriptor = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, FILE_MODE)
         self.size = os.fstat(self.descriptor).st_size  # bytes
 
     def append(self, data: bytes) -> None:
-        """Raises OSError, and then nothing of `data` is in the file."""
+        """Appends `data`, after a rotation if needed. Raises OSError, with nothing of `data` in the file."""
         if self.size and self.size + len(data) > self.max_bytes:
             self.rotate()
         append_whole(self.descriptor, data, self.size)
         self.size += len(data)
 
     def rotate(self) -> None:
-        """Sets the full file aside and begins another. Raises OSError."""
+        """Renames the full file and opens a new one. Raises OSError."""
         self.rename_files()
         full = self.descriptor
         self.open()
         os.close(full)
 
     def rename_files(self) -> None:
-        """Each becomes one older."""
-        if not self.path.exists():  # no new file could be made the last time: the older ones stay as they are
+        """Renames each file to the next higher number; deletes the current file if none are kept."""
+        if not self.path.exists():  # an earlier rotation failed to create the file: keep the older ones
             return
         for age in range(self.kept_files, 0, -1):
             with suppress(FileNotFoundError):
@@ -56,5 +57,5 @@
             self.path.unlink()
 
     def rotated_path(self, age: int) -> Path:
-        """0: the current file."""
+        """Returns the path of the file with this number; 0 is the current file."""
         return self.path.with_name(f"{self.path.name}.{age}") if age else self.path
--- a/ashpath/server/delivery/unreachable_networks.py
+++ b/ashpath/server/delivery/unreachable_networks.py
@@ -1,30 +1,32 @@
-"""Tells a network that is down here from a place that cannot be reached.
+"""Distinguishes an outage of the local network from an address that cannot be reached.
 
-A dial that ends with "no route" is a fault of this machine unless another dial has come up since the first
-such end at that address: then the network works, and the place does not.
+A connect that fails with "no route" is a fault of this machine, unless another connection has been
+established since the first such failure at that address: the local network works then, and the address is
+unreachable.
 """
 
 from __future__ import annotations
 
 from ashpath.server.addresses import Address
 
-MAX_ADDRESSES = 4096  # past it all are forgotten: each is learnt again by two dials
+MAX_ADDRESSES = 4096  # beyond it all are dropped; two connects per address restore them
 
 
 class UnreachableNetworks:
-    """Keeps the addresses without a route, until a dial there comes up."""
+    """Stores addresses that failed with "no route", until a connection to them is established."""
 
     def __init__(self) -> None:
         self.established_connections = 0
-        self._first_failures: dict[Address, int] = {}  # by address, how many dials had come up by then
+        self._first_failures: dict[Address, int] = {}
+        """`established_connections` at the first "no route" failure, by address."""
 
     def connection_established(self, address: Address) -> None:
-        """There is a route."""
+        """Records that a connection to the address was established."""
         self.established_connections += 1
         self._first_failures.pop(address, None)
 
     def is_local_outage(self, address: Address) -> bool:
-        """Whether a dial without a route, to this address and just now, is a fault of this machine."""
+        """Whether a "no route" failure at this address, just now, is a fault of this machine."""
         if len(self._first_failures) >= MAX_ADDRESSES:
             self._first_failures.clear()
         return (
--- a/tests/server/delivery/test_attempt_runner.py
+++ b/tests/server/delivery/test_attempt_runner.py
@@ -1,4 +1,4 @@
-"""One attempt: connecting, the request, the response, cancellation, and what becomes of its connection."""
+"""Attempts: connecting, request, response, cancellation, and reuse of the connection."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 FULL = b"HTTP/1.1 429 Full\r\nContent-Length: 2\r\n"
 CHUNKS = OK + b"Transfer-Encoding: chunked\r\n\r\n"
 
-# What an endpoint writes, the outcome, and whether its connection may carry another request.
+# Bytes that an endpoint writes, the expected outcome, and whether the connection is reused.
 RESPONSES = {
     OK + b"Content-Length: 2\r\n\r\nok": (AttemptOutcome.DELIVERED, True),
     OK + b"Content-Length: 2\r\n\r\nok" + FULL + b"\r\nno": (AttemptOutcome.DELIVERED, False),
@@ -36,7 +36,7 @@
     OK + b"Content-Length: 3000000000\r\n\r\nabc": (AttemptOutcome.DELIVERED, False),
     OK + b"X: " + b"p" * 20_000: (AttemptOutcome.DELIVERED, False),
     b"HTTP/1.1 103 Hints\r\n\r\n" * 50: (AttemptOutcome.CONNECTION_RESET, False),
-    # In chunks: kept where they end as they should, so that no attempt pays for a new connection.
+    # Chunked responses: the connection is kept if the body ends correctly, which saves a new connection.
     CHUNKS + b"2\r\nok\r\n0\r\n\r\n": (AttemptOutcome.DELIVERED, True),
     CHUNKS + b"2;a=b\r\nok\r\n0\r\nX: y\r\n\r\n": (AttemptOutcome.DELIVERED, True),
     CHUNKS + b"2\r\nok\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n": (AttemptOutcome.DELIVERED, False),
@@ -63,13 +63,15 @@
 
 
 def test_malformed_responses_have_expected_outcome_and_connection_reuse(world: World) -> None:
-    """What is not sound may have run, whatever its status, and its connection carries no other request."""
+    """After a malformed response the request may have run, whatever the status, and its connection is closed.
+
+    A reused connection with unread bytes would deliver them as the response to the next request."""
 
     def serve(sock: socket.socket, _: object) -> None:
         connection = HttpConnection(sock, LIMITS)
         connection.read_request()
         connection.write(data)
-        connection.receive()  # it stays open, until the far end has enough
+        connection.receive()  # keeps the connection open until the runner closes it
 
     world.servers[0].set_handle(serve)
     stages = DeliveryStages(world)
@@ -83,7 +85,8 @@
 
 
 def test_attempt_invalidated_while_connecting_is_not_sent(world: World) -> None:
-    """Checked once its connection is up; a drain closes idle connections."""
+    """Validity is checked once the connection is established. A drain closes idle connections and ends the
+    address of the endpoint, so that the next attempt is not sent."""
     stages = DeliveryStages(world)
     stages.start("a", b"200")
     until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED])
@@ -102,7 +105,8 @@
 
 
 def test_cancelled_attempt_has_exactly_one_outcome(world: World) -> None:
-    """Whenever it is cancelled; and its connection carries no other request."""
+    """An attempt is cancelled before it starts, while it waits for the response, or after it has ended. The
+    connection of a cancelled attempt is closed; an attempt that has ended keeps its outcome."""
     stages = DeliveryStages(world)
     stages.start("a", b"hang").cancel()
     until(lambda: stages.outcomes == [AttemptOutcome.CANCELLED])
@@ -118,16 +122,18 @@
     assert stages.pool.open == 1
 
 
-# What gives an attempt up, and its outcome.
+# Exception that interrupts an attempt, and the resulting outcome.
 INTERRUPTIONS = {AttemptCancelledError: AttemptOutcome.CANCELLED, Timeout: AttemptOutcome.TIMED_OUT}
-# What is in the socket as the attempt is given up, and whether it was delivered.
+# Bytes in the socket at the interruption, and whether the message counts as delivered.
 BYTES_BEFORE_INTERRUPTION = {
     b"": False,
     b"HTTP/1.1 20": False,
     OK: True,
     OK + b"Content-Length: 2\r\n\r\nok": True,
     b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": False,
-    b"HTTP/1.1 503 X\r\nContent-Length: 99\r\n\r\n" + OK + OK: False,  # a first line within a body is none
+    b"HTTP/1.1 503 X\r\nContent-Length: 99\r\n\r\n"
+    + OK
+    + OK: False,  # a status line within a body does not count
     b"x" * 40_000: False,
 }
 
@@ -137,8 +143,9 @@
 def test_success_received_before_interruption_counts_as_delivered(
     world: World, monkeypatch: pytest.MonkeyPatch, error: type[BaseException], data: bytes
 ) -> None:
-    """Guards what was delivered against a retry and a false final state: a 200 whose status line was here
-    counts."""
+    """A 200 whose status line is in the socket at the interruption counts as delivered.
+
+    If it did not, a delivered message would be retried, or would get a false final state."""
     stages = DeliveryStages(world)
     connections: list[HttpConnection] = []
     connect = stages.pool.connect
@@ -150,14 +157,14 @@
     def serve(sock: socket.socket, _: object) -> None:
         connection = HttpConnection(sock, LIMITS)
         connection.read_request()
-        if b"99" in data:  # its head is read before
+        if b"99" in data:  # the runner reads this head first
             connection.write(data[: -2 * len(OK)])
             until(lambda: connections[0].status_line_read)
             sock.send(data[-2 * len(OK) :])
         else:
             sock.send(data)
         assert attempt.greenlet is not None
-        attempt.greenlet.kill(error(), block=False)  # thrown before anything is read
+        attempt.greenlet.kill(error(), block=False)  # raised before the runner reads these bytes
         gevent.sleep(0.05)
 
     monkeypatch.setattr(stages.pool, "connect", record_connection)
@@ -173,7 +180,8 @@
 def test_endpoint_moved_while_connecting_gets_no_request(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards other destinations: the address that was dialled may be another endpoint's by the first byte."""
+    """The endpoint leaves its address, and another endpoint takes it over, while the connection is being
+    established. A request written then would reach an endpoint of another destination."""
     stages = DeliveryStages(world)
     connect = stages.pool.connect
     moved = {**world.members[1], "host_port": "127.0.0.1:1"}
@@ -191,7 +199,7 @@
     assert not world.attempt_count("a")
 
 
-# What connecting may meet, and the outcome: what is the sender's own says nothing of the endpoint.
+# Errors of a connect, and the outcome: local faults must not count against the endpoint.
 CONNECT_ERRORS = {
     OSError(errno.EMFILE, "out of descriptors"): AttemptOutcome.LOCAL_FAULT,
     OSError(errno.ENFILE, "out of descriptors"): AttemptOutcome.LOCAL_FAULT,
@@ -211,8 +219,10 @@
 def test_connect_error_maps_to_one_outcome(
     world: World, monkeypatch: pytest.MonkeyPatch, error: Exception
 ) -> None:
-    """Guards concurrency and endpoints: whatever it raises, the attempt has one outcome, and the right
-    one."""
+    """Any error of a connect ends the attempt with exactly one outcome.
+
+    Without an outcome the concurrency slot of the attempt would be lost; a wrong outcome would treat a local
+    fault as an outage of the endpoint, or the reverse."""
     stages = DeliveryStages(world)
 
     def connect(_: Address) -> HttpConnection:
@@ -225,8 +235,8 @@
 
 
 def test_deadline_before_connect_counts_as_not_sent(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards endpoints: that its connection was not up by a message's deadline says nothing of one that is
-    well; taken for a refused connection it was an outage."""
+    """A message's deadline passes while its connection is being established. This says nothing about the
+    endpoint; counted as a refused connection, it would look like an outage of a healthy endpoint."""
     stages = DeliveryStages(world)
     monkeypatch.setattr(stages.pool, "connect", lambda _: gevent.sleep(9))
     stages.start("a", b"200", timeout=30_000)
@@ -235,7 +245,7 @@
 
 
 def test_exhausted_connection_pool_is_a_local_fault(world: World) -> None:
-    """Says nothing of the endpoint: the attempt was not sent."""
+    """The attempt is not sent because all connections are in use, which is a local fault."""
     stages = DeliveryStages(world)
     stages.pool.limits = replace(LIMITS, endpoint_connections=0)
     stages.start("a", b"200")
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: reuse, limits, idle times."""
+"""Connection pool: reuse, limits and idle times of connections to endpoints."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 
 
 def endpoint_address(world: World) -> Address:
-    """Where all endpoints of the world listen."""
+    """The address at which all endpoints of the world listen."""
     port = world.servers[0].server_port
     assert port is not None
     return "127.0.0.1", port
 
 
 def backdate_idle_connection(pool: ConnectionPool, index: int, seconds: float) -> None:
-    """An idle connection of endpoint e1 was idle for so much longer."""
+    """Makes an idle connection of endpoint e1 look idle for `seconds` longer."""
     since, connection = pool.idle["e1"][index]
     pool.idle["e1"][index] = IdleConnection(since - seconds, connection)
 
 
 def test_unusable_idle_connections_are_closed(world: World) -> None:
-    """Closed, spoilt and long idle connections carry no request."""
+    """Connections that are closed by the far end, hold unexpected bytes or were idle for too long are closed,
+    both on reuse and by the sweep."""
     pool = ConnectionPool(LIMITS)
     good, closed, spoilt, old = (pool.connect(endpoint_address(world)) for _ in range(4))
     for connection in (closed, spoilt, good, old):
         pool.release("e1", connection)
-    closed.write(b"nonsense\r\n\r\n")  # upon which the far end closes
-    spoilt.write(request("s", "free", "200", 1))  # a response that nobody waits for
+    closed.write(b"nonsense\r\n\r\n")  # the far end closes the connection in response
+    spoilt.write(request("s", "free", "200", 1))  # leaves a response that nobody reads
     until(lambda: not closed.is_quiet() and not spoilt.is_quiet())
     assert pool.acquire_idle("e1") is good
     assert pool.open == 2
@@ -46,7 +47,7 @@
 
 
 def test_longest_idle_connection_is_evicted_at_the_limit(world: World) -> None:
-    """No more are open than the limit says; the longest idle one makes room."""
+    """At the limit, a new connection replaces the longest idle one; without an idle one, acquire fails."""
     pool = ConnectionPool(LIMITS)
     address = endpoint_address(world)
     pool.release("e1", pool.connect(address))
@@ -64,7 +65,8 @@
 
 
 def test_reset_of_idle_connection_shortens_idle_limit(world: World) -> None:
-    """A far end that resets what was idle for a while: younger ones are trusted, and from then on first."""
+    """A far end resets connections that were idle for a while, without a FIN before. The pool then closes
+    connections after a shorter idle time, and reuses the most recently used connection first."""
     stages = DeliveryStages(world)
     pool = stages.pool
     address = endpoint_address(world)
@@ -80,7 +82,7 @@
     assert pool.acquire_idle("e1") is old
     pool.release("e1", old)
     world.servers[0].set_handle(reset_after_request)
-    stages.start("a", b"reset")  # on the young one, the longest idle now
+    stages.start("a", b"reset")  # uses the young connection, now the longest idle
     until(lambda: stages.outcomes == [AttemptOutcome.CONNECTION_RESET])
     assert 0.1 < pool.idle_limit("e1") < 0.2
     assert pool.idle_limit("e2") == LIMITS.endpoint_idle_s
@@ -88,7 +90,7 @@
     pool.release("e1", last)
     assert pool.acquire_idle("e1") is last
     pool.release("e1", last)
-    stages.start("b", b"reset")  # on the last one, fresh from a request: that it was idle is no cause
+    stages.start("b", b"reset")  # uses the last connection, which was hardly idle: the limit stays
     until(lambda: len(stages.outcomes) == 2)
     assert pool.idle_limit("e1") > 0.1
     pool.close_idle("e1")
--- a/tests/server/delivery/test_endpoint_registry.py
+++ b/tests/server/delivery/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Addresses of endpoints, and successors at the same address."""
+"""Endpoint registry: addresses, successors at the same address, served destinations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 
 def test_successor_at_same_address_gets_no_old_connection(world: World) -> None:
-    """Connections of an endpoint that is gone carry no call for the one that took its address."""
+    """Connections of a removed endpoint, idle or in use, are not reused for the endpoint that took over its
+    address."""
     stages = DeliveryStages(world)
     stages.start("a", b"200")
     slow = stages.start("b", b"slow")
@@ -24,14 +25,17 @@
     )
     assert old.unusable
     assert not stages.pool.idle
-    until(lambda: len(stages.outcomes) == 2 and not stages.pool.open)  # nor the one that was out
+    until(
+        lambda: len(stages.outcomes) == 2 and not stages.pool.open
+    )  # the connection that was in use closes as well
     stages.start("c", b"200", "new")
     until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
     assert list(stages.pool.idle) == ["new"]
 
 
 def test_drain_applies_despite_unreadable_address(world: World) -> None:
-    """The address of an endpoint that leaves is no matter: nothing more is sent there."""
+    """A drain without a readable address applies, as nothing more is sent there. An endpoint that is up
+    needs a readable address."""
     registry = DeliveryStages(world).registry
     draining = {"id": "e1", "cell": 1, "phase": "draining", "host_port": None}
     assert not registry.apply_members([draining], complete=False).unreadable
@@ -41,7 +45,8 @@
 
 
 def test_destination_without_endpoint_is_served_until_forgotten() -> None:
-    """A destination between an endpoint and its successor is served; one long without any is forgotten."""
+    """A destination stays served between the removal of an endpoint and the listing of its successor, and is
+    forgotten after `forget_destination_s` without endpoints."""
     registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), LOG)
     row = {"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}
     registry.apply_members([row], complete=True)
--- a/tests/server/delivery/test_file_notifier.py
+++ b/tests/server/delivery/test_file_notifier.py
@@ -1,4 +1,4 @@
-"""Notifications to a file."""
+"""File notifier: lines written, and retries after failed writes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def test_failed_write_leaves_notification_pending(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is logged once, tried again, and logged once more as it is written."""
+    """A failed write is logged once and retried; the first successful write after it is logged too."""
     logger, log = Mock(), Mock()
     file = RotatingFile(tmp_path / "n", 1000, 1)
     append = file.append
--- a/tests/server/delivery/test_http_notifier.py
+++ b/tests/server/delivery/test_http_notifier.py
@@ -1,4 +1,4 @@
-"""Notifications by HTTP, against a receiver that answers by a script."""
+"""HTTP notifier, against a receiver with scripted responses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ScriptedReceiver:
-    """Answers each call with the next status, 0 for silence; the last one for good. Keeps the ids it got."""
+    """Returns the next status for each call (0: no response), the last one repeatedly; records the ids."""
 
     def __init__(self, statuses: list[int]) -> None:
         self.statuses = statuses
@@ -43,7 +43,7 @@
 
 
 def notify(monkeypatch: pytest.MonkeyPatch, statuses: list[int], logger: Mock) -> ScriptedReceiver:
-    """Notifies of the messages a, b, c, until all are acknowledged."""
+    """Sends notifications of the messages a, b, c until all are acknowledged; returns the receiver."""
     receiver = ScriptedReceiver(statuses)
     backoff = Backoff(Random(0), min_s=0.001, max_s=0.002)
     notifier = HttpNotifier(RECEIVER, LIMITS, Mock(), logger, backoff)
@@ -71,7 +71,8 @@
 
 
 def test_rejected_line_does_not_block_other_lines(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each goes alone then; the one is logged and dropped, and the rest goes as a batch again."""
+    """After a 400 to a batch, lines are sent alone. A line that is rejected alone is logged and dropped, and
+    the remaining lines are sent as a batch again."""
     logger = Mock()
     receiver = notify(monkeypatch, [400, 400, 204], logger)
     assert receiver.batches == [["a", "b", "c"], ["a"], ["b", "c"]]
--- a/tests/server/delivery/test_local_faults.py
+++ b/tests/server/delivery/test_local_faults.py
@@ -1,9 +1,9 @@
-"""Connections that fail on this machine say nothing of a destination.
+"""Connects that fail because of a local fault must not count against a destination.
 
-Seen: with ENOBUFS or EADDRNOTAVAIL at connect, endpoints that were well were treated as down: each failure
-opened a breaker for a second, and messages were deferred that had time left.
-Cause: of all errnos only those of descriptors were told apart from an outage of the far end, and an attempt
-that was not sent was begun again at once, until its message had none left.
+Failure: with ENOBUFS or EADDRNOTAVAIL at connect, healthy endpoints were treated as down. Each failed connect
+opened a circuit breaker for a second, and messages with time left were deferred.
+Cause: only the errnos for missing descriptors were distinguished from an outage of the far end, and an
+attempt that was not sent was started again at once, until its message had no attempts left.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 def run_with_failing_connects(folder: Path, error: str) -> str:
-    """What was wrong with one sender, all of whose connects fail for a while."""
+    """Runs one sender whose connects fail for a while; returns a description of the faults, or ""."""
     folder.mkdir()
     world = World(folder)
-    fault = CallFault(FaultyCall.CONNECT, error, skip=2, count=FAILING_CONNECTS)  # discovery has its own
+    fault = CallFault(FaultyCall.CONNECT, error, skip=2, count=FAILING_CONNECTS)  # skips discovery's connects
     world.faults = ProcessFaults((fault,))
     try:
         world.start()
@@ -47,7 +47,7 @@
 
 
 def test_local_connect_faults_delay_messages_without_opening_breakers(tmp_path: Path) -> None:
-    """Each errno with a sender of its own, side by side."""
+    """Runs one sender for each errno, concurrently."""
     results: dict[str, Callable[[], str]] = {
         error: gevent.spawn(run_with_failing_connects, tmp_path / error, error).get for error in ERRORS
     }
--- a/tests/server/delivery/test_notifier.py
+++ b/tests/server/delivery/test_notifier.py
@@ -1,4 +1,4 @@
-"""Notifications that are pending, and who is notified of nothing."""
+"""Pending notifications, and the notifier without a receiver."""
 
 from __future__ import annotations
 
--- a/tests/server/delivery/test_outcome_recorder.py
+++ b/tests/server/delivery/test_outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Outcomes and final states: what is written, in which order, and who learns of it."""
+"""Outcome recorder: records of outcomes and final states, their order, and their recipients."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecorderHarness:
-    """A recorder, with one message whose attempt is in flight; it keeps final states and counts itself."""
+    """A recorder with one message whose attempt is in flight; serves as outcome store and metrics itself."""
 
     def __init__(self, directory: Path) -> None:
         self.write_ahead_log = WriteAheadLog(directory, LIMITS.disk_bytes)
@@ -36,7 +36,9 @@
         self.metric_calls: list[FinalState | AttemptOutcome | str] = []
 
     def add(self, trace_id: str, state: FinalState, retry_after: int = 0) -> None:
-        assert trace_id in self.write_ahead_log.messages.by_trace_id  # it forgets the message after this
+        assert (
+            trace_id in self.write_ahead_log.messages.by_trace_id
+        )  # the log removes the message only after this call
         self.stored_states.append((trace_id, state, retry_after))
 
     def message_accepted(self, traffic_class: int) -> None:
@@ -70,7 +72,7 @@
 def test_message_stays_live_after_non_final_attempt(
     harness: RecorderHarness, outcome: AttemptOutcome, may_have_run: bool
 ) -> None:
-    """The message stays, with what is known of the attempt."""
+    """The message stays in the write-ahead log, with the time of its first attempt that may have run."""
     harness.recorder.record_attempt(harness.message, AttemptResult(outcome))
     assert harness.message.in_flight_since is None
     assert harness.message.first_run_at == (77 if may_have_run else None)
@@ -85,7 +87,7 @@
 def test_final_attempt_stores_state_without_notification(
     harness: RecorderHarness, outcome: AttemptOutcome, state: FinalState
 ) -> None:
-    """Its state is kept for clients that ask; nobody is notified."""
+    """The final state is stored for clients that ask; no notification is sent."""
     harness.recorder.record_attempt(harness.message, AttemptResult(outcome, final=True))
     assert harness.stored_states == [("t1", state, 0)]
     assert harness.metric_calls == [state]
@@ -97,7 +99,7 @@
 def test_final_state_is_submission_result_while_client_waits(
     harness: RecorderHarness, retry_after: int | None
 ) -> None:
-    """It is the result of the submission, and nothing is left."""
+    """The final state is the result of the submission; it is neither stored nor notified."""
     with harness.recorder.submission(harness.message) as submission:
         if retry_after is None:
             harness.recorder.record_failed(harness.message)
@@ -115,7 +117,8 @@
 
 
 def test_final_state_after_acceptance_is_stored_and_notified(harness: RecorderHarness) -> None:
-    """It is kept for clients that ask, and notified of; the log has the message until that is done."""
+    """The final state is stored for clients that ask and a notification is pending; the write-ahead log keeps
+    the message until the notification is acknowledged."""
     with harness.recorder.submission(harness.message) as submission:
         pass
     harness.recorder.record_rejected(harness.message, 2_500_000)
@@ -128,7 +131,7 @@
 
 
 def test_final_state_of_other_message_does_not_change_submission(harness: RecorderHarness) -> None:
-    """A final state within its submission is not its own."""
+    """A final state of another message within the submission is stored and notified as usual."""
     other = StoredMessage(2, "t2", 0, 1, None, None, 0, b"")
     with harness.recorder.submission(other) as submission:
         harness.recorder.record_failed(harness.message)
--- a/tests/server/delivery/test_response_classifier.py
+++ b/tests/server/delivery/test_response_classifier.py
@@ -1,4 +1,4 @@
-"""What a response, or its absence, becomes: outcome, Retry-After, load report."""
+"""Response classifier: outcome, Retry-After and load report of a response or of a failure."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class DeliveryCase(NamedTuple):
-    """What attempts of a message meet, its class, how many there are then, and its notification."""
+    """Endpoint behaviors by attempt, traffic class, expected number of attempts and expected notification."""
 
     behaviors: str
     traffic_class: str
@@ -66,7 +66,7 @@
 
 
 def attempt_with(**state: object) -> Attempt:
-    """An attempt that has ended so."""
+    """An attempt that has ended, with the given fields."""
     message = StoredMessage(1, "t", 0, 1, None, None, 0, b"")
     attempt = Attempt(message, "e1", 0, 0)
     for name, value in state.items():
@@ -75,7 +75,7 @@
 
 
 def test_endpoint_behavior_determines_attempts_and_notification(world: World) -> None:
-    """How often a message is sent, and what is notified of it, by what its attempts meet."""
+    """Checks the number of attempts, their headers and the notification for each endpoint behavior."""
     for number, case in enumerate(DELIVERY_CASES):
         if case.behaviors == "refused":
             world.members[number]["host_port"] = "127.0.0.1:1"
@@ -104,7 +104,7 @@
     [(b"TEXT x0=0.5, x1=20", LoadReport(0.5, 20.0)), (b"TEXT x0=?, x1=20", None), (b"%%", None)],
 )
 def test_unreadable_load_report_is_ignored(report: bytes, expected: LoadReport | None) -> None:
-    """One that cannot be read reports nothing, not that no quota is left."""
+    """An unreadable load report counts as absent: a remaining quota of 0 would stop all attempts."""
     response = HttpResponse()
     response.headers = {b"endpoint-load-metrics": report}
     assert ResponseClassifier(has_load_reports=True).load_report(response) == expected
@@ -115,9 +115,9 @@
 @pytest.mark.parametrize("closes", [True, False])
 @pytest.mark.parametrize("status", [503, 429, 500])
 def test_full_connection_table_is_not_an_overload(new_connection: bool, closes: bool, status: int) -> None:
-    """Guards a fleet whose idle connections fill the tables of endpoints: they answer the first request of a
-    new connection 503 and close it. Taken for a limit, rates fell and breakers opened, and nobody gave a
-    connection back."""
+    """Idle connections of a fleet fill the connection tables of endpoints, which then answer the first
+    request on a new connection with 503 and close the connection. Counted as an overload, this lowered rates
+    and opened circuit breakers, and no sender closed idle connections."""
     response = HttpResponse()
     response.status = status
     response.keep_alive = not closes
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda failure: failure.__name__)
 def test_each_failure_without_response_has_its_outcome(failure: type[AttemptError]) -> None:
-    """Each type of failure has one outcome, which ends no message and names no Retry-After."""
+    """Each type of failure maps to one outcome, which is not final and has no Retry-After."""
     result = ResponseClassifier(has_load_reports=True).classify(attempt_with(failure=failure()))
     assert result == AttemptResult(FAILURES[failure])
 
@@ -169,7 +169,7 @@
 def test_response_status_determines_attempt_result(
     status: int, headers: dict[bytes, bytes], expected: AttemptResult
 ) -> None:
-    """A Retry-After counts with an overload alone; a success counts before the failure of giving up."""
+    """Retry-After applies only to an overload. A response takes precedence over a timeout."""
     response = HttpResponse()
     response.status = status
     response.headers = headers
--- a/tests/server/delivery/test_rotating_file.py
+++ b/tests/server/delivery/test_rotating_file.py
@@ -1,4 +1,4 @@
-"""A file of lines that is set aside when it is full."""
+"""Rotating file: rotation by size, reopening, partial writes."""
 
 from __future__ import annotations
 
--- a/tests/server/delivery/test_unreachable_networks.py
+++ b/tests/server/delivery/test_unreachable_networks.py
@@ -1,4 +1,4 @@
-"""A network that is down here, or a place that cannot be reached."""
+"""Distinction between an outage of the local network and an unreachable address."""
 
 from __future__ import annotations
 
