--- a/ashpath/server/delivery/unreachable_networks.py
+++ b/ashpath/server/delivery/unreachable_networks.py
@@ -17,8 +17,8 @@
 
     def __init__(self) -> None:
         self.established_connections = 0
+        # By address: `established_connections` at the first "no route" failure.
         self._first_failures: dict[Address, int] = {}
-        """`established_connections` at the first "no route" failure, by address."""
 
     def connection_established(self, address: Address) -> None:
         """Records that a connection to the address was established."""
