--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -48,7 +48,7 @@
 REJECTING_STATUSES = frozenset({429, 503})
 POLL_SHARE = 0.5  # of the lease, for one poll: another has to fit behind it
 MAX_LATE_POLLS = 2  # beside the one that is waited for
-LOGGED_IDS = 8  # of endpoints, in one line
+MAX_LOGGED_IDS = 8  # of endpoints, in one line
 
 
 class Poll:
@@ -137,7 +137,7 @@
         while silent_s < self.limits.initial_silence_s:
             began = monotonic()
             if self.apply_if_list(self.poll(self.limits.initial_snapshot_s)):
-                self.list_read()
+                self.record_list_read()
             if self.lists_read:  # by an earlier poll, perhaps
                 return
             ended = monotonic()
@@ -163,7 +163,7 @@
             return  # moved meanwhile
         state = self.next_state(response)
         if state is DiscoveryState.ANSWERING:
-            self.list_read()
+            self.record_list_read()
         elif state is DiscoveryState.SILENT:
             self.revision = None  # whoever answers next may have begun anew, and count its revisions anew
         status = 0 if response is None else response.status
@@ -171,7 +171,7 @@
         if state is not DiscoveryState.ANSWERING:
             self.pause.sleep(self.pause_length(state, response))
 
-    def list_read(self) -> None:
+    def record_list_read(self) -> None:
         """A list was read just now."""
         self.lists_read += 1
         self.last_response_at = monotonic()
@@ -191,7 +191,7 @@
             return watch_s
         if self.pushed:
             return self.limits.pushed_snapshot_s
-        share_s = self.lease.left(monotonic()) * POLL_SHARE
+        share_s = self.lease.remaining(monotonic()) * POLL_SHARE
         return min(watch_s, max(self.limits.snapshot_s, share_s))
 
     def poll(self, timeout_s: float) -> HttpResponse | None:
@@ -201,7 +201,7 @@
             query = b"?index=%d&wait=%d" % (self.revision, int(self.limits.watch_s * 1000))
         request_line = b"GET %s%s HTTP/1.1" % (wire_names.ENDPOINT_LIST_PATH, query)
         poll = Poll(self.connection, self.moves, self.lists_read)
-        gevent.spawn(self.carry, poll, request_line)
+        gevent.spawn(self.run_poll, poll, request_line)
         if poll.ended.wait(timeout_s):
             return poll.response
         if len(self.late_polls) < MAX_LATE_POLLS:
@@ -212,21 +212,21 @@
         self.connection = AgentConnection(self.connection.address, self.limits)
         return None
 
-    def carry(self, poll: Poll, request_line: bytes) -> None:
+    def run_poll(self, poll: Poll, request_line: bytes) -> None:
         """Calls the agent, and takes what comes late."""
         poll.response = poll.connection.call(request_line, b"", self.limits.late_poll_s)
         poll.ended.set()
         if poll.late:
             self.late_polls.remove(poll)
             poll.connection.close()
-            self.take_late(poll)
+            self.apply_late_list(poll)
 
-    def take_late(self, poll: Poll) -> None:
+    def apply_late_list(self, poll: Poll) -> None:
         """Applies the list of a poll that nobody waited for any more, if none was read since it began."""
         if poll.moves != self.moves or poll.lists_read != self.lists_read:
             return
         if poll.response is not None and self.apply_if_list(poll.response):
-            self.list_read()
+            self.record_list_read()
             status = poll.response.status
             self.state_log.poll_ended(DiscoveryState.ANSWERING, status, self.revision or 0, self.list_age())
             self.pause.interrupt()
@@ -246,13 +246,13 @@
         now = monotonic()
         if state is DiscoveryState.REJECTING and response is not None:
             retry_after_s = parse_number(response.headers.get(wire_names.RETRY_AFTER_HEADER))
-            drawn_s = self.rejected_backoff.next_pause(retry_after_s)
+            backoff_s = self.rejected_backoff.next_pause(retry_after_s)
             share = 1 - self.limits.discovery_jitter * self.random.random()
-            return self.lease.rejected_pause(now, drawn_s, share)
-        drawn_s = self.silent_backoff.next_pause()
+            return self.lease.pause_after_rejection(now, backoff_s, share)
+        backoff_s = self.silent_backoff.next_pause()
         if self.pushed:
-            drawn_s = min(drawn_s, self.limits.pushed_pause_s)
-        return self.lease.silent_pause(now, drawn_s)
+            backoff_s = min(backoff_s, self.limits.pushed_pause_s)
+        return self.lease.pause_after_silence(now, backoff_s)
 
     def apply_if_list(self, response: HttpResponse | None) -> bool:
         """Whether the response was a list that could be read; it has been applied then."""
@@ -273,28 +273,28 @@
         self.revision = None  # also where the listener fails
         every_row_read = True
         if response.rows:
-            rows = self.without_stale(response)
+            rows = self.filter_stale_rows(response)
             every_row_read = self.listener.receive_members(rows, complete=response.complete)
         in_sequence = previous_revision is None or response.revision >= previous_revision
         if response.complete or (every_row_read and in_sequence):
             self.revision = response.revision
         return True
 
-    def without_stale(self, response: EndpointListResponse) -> list[EndpointRow]:
+    def filter_stale_rows(self, response: EndpointListResponse) -> list[EndpointRow]:
         """The rows of a list, those of endpoints that stay out as draining; logs who leaves and who stays."""
         filtered = self.departures.filter(response, monotonic())
-        if filtered.left:
+        if filtered.departed:
             self.logger.info(
                 "endpoints left",
-                endpoints=",".join(filtered.left[:LOGGED_IDS]),
-                count=len(filtered.left),
+                endpoints=",".join(filtered.departed[:MAX_LOGGED_IDS]),
+                count=len(filtered.departed),
                 revision=response.revision,
             )
         if filtered.stale:
             self.stale_records += len(filtered.stale)
             self.logger.warning(
                 "older endpoint list",
-                endpoints=",".join(filtered.stale[:LOGGED_IDS]),
+                endpoints=",".join(filtered.stale[:MAX_LOGGED_IDS]),
                 count=len(filtered.stale),
                 revision=response.revision,
             )
--- a/ashpath/server/discovery/departures.py
+++ b/ashpath/server/discovery/departures.py
@@ -9,7 +9,7 @@
 | by a revision later than that of its departure | back |
 | with a later start than the one it left with | back: it was restarted |
 | by an agent that had it leave too, after a move, and later in that agent's own count | back |
-| longer after its departure than `FORGET_S` | back: agents are not behind for so long |
+| longer after its departure than `DEPARTURE_RETENTION_S` | back: agents are not behind for so long |
 | otherwise | still draining, and counted as stale |
 """
 
@@ -23,8 +23,8 @@
 from ashpath.server import wire_names
 from ashpath.server.discovery.snapshot import EndpointListResponse, EndpointRow
 
-FORGET_S = 600.0
-MAX_DEPARTURES = 8192  # the latest are kept: endpoints that left within `FORGET_S`
+DEPARTURE_RETENTION_S = 600.0
+MAX_DEPARTURES = 8192  # the latest are kept: endpoints that left within `DEPARTURE_RETENTION_S`
 
 UP_PHASE = next(
     name for name, status in wire_names.ENDPOINT_STATUSES.items() if status is EndpointStatus.ACTIVE
@@ -40,9 +40,9 @@
     revision: int
     up_since_ms: float
     """The start that it left with, as far as it was listed."""
-    at: float
+    departed_at: float
     """Seconds of the monotonic clock."""
-    agent: int
+    agent_number: int
     """Which of the agents said so, by the number of moves before it."""
 
 
@@ -50,29 +50,29 @@
     """A list without what is older than the one read before."""
 
     rows: list[EndpointRow]
-    left: list[str]
+    departed: list[str]
     """Endpoints that leave with this list."""
     stale: list[str]
     """Endpoints that it has up, and that stay out."""
 
 
 class Departures:
-    """What was read of endpoints that leave; bounded by `MAX_DEPARTURES` and `FORGET_S`."""
+    """What was read of endpoints that leave; bounded by `MAX_DEPARTURES` and `DEPARTURE_RETENTION_S`."""
 
     def __init__(self) -> None:
         self.departures: dict[str, Departure] = {}  # by endpoint id, the oldest first
         self.listed: dict[str, float] = {}  # endpoints that are up, and the start that each was listed with
-        self.agent = 0
+        self.agent_number = 0
 
     def agent_moved(self) -> None:
         """Revisions are another agent's from now on, and may be counted anew."""
-        self.agent += 1
+        self.agent_number += 1
 
     def filter(self, response: EndpointListResponse, now: float) -> FilteredList:
         """What may be taken of a list, in its order. `now`: seconds of the monotonic clock."""
-        self._forget(now)
+        self._remove_expired(now)
         rows: list[EndpointRow] = []
-        left: list[str] = []
+        departed: list[str] = []
         stale: list[str] = []
         absent = set(self.listed) if response.complete else set()
         for row in response.rows:
@@ -83,8 +83,8 @@
             absent.discard(endpoint_id)
             if row.get("phase") != UP_PHASE:
                 if endpoint_id in self.listed:
-                    left.append(endpoint_id)
-                self._leave(endpoint_id, response.revision, _number(row, "up_since_ms"), now)
+                    departed.append(endpoint_id)
+                self._record_departure(endpoint_id, response.revision, _number(row, "up_since_ms"), now)
             elif self._is_stale(endpoint_id, row, response.revision):
                 stale.append(endpoint_id)
                 row = {**row, "phase": DRAINING_PHASE}
@@ -93,18 +93,18 @@
                 self.listed[endpoint_id] = _number(row, "up_since_ms")
             rows.append(row)
         for endpoint_id in absent:
-            left.append(endpoint_id)
-            self._leave(endpoint_id, response.revision, 0.0, now)
-        return FilteredList(rows, left, stale)
+            departed.append(endpoint_id)
+            self._record_departure(endpoint_id, response.revision, 0.0, now)
+        return FilteredList(rows, departed, stale)
 
-    def _leave(self, endpoint_id: str, revision: int, up_since_ms: float, now: float) -> None:
+    def _record_departure(self, endpoint_id: str, revision: int, up_since_ms: float, now: float) -> None:
         known = self.departures.pop(endpoint_id, None)
         up_since_ms = max(up_since_ms, self.listed.pop(endpoint_id, 0.0))
         if known is not None:
             up_since_ms = max(up_since_ms, known.up_since_ms)
-            if known.agent == self.agent:
+            if known.agent_number == self.agent_number:
                 revision = max(revision, known.revision)
-        self.departures[endpoint_id] = Departure(revision, up_since_ms, now, self.agent)
+        self.departures[endpoint_id] = Departure(revision, up_since_ms, now, self.agent_number)
 
     def _is_stale(self, endpoint_id: str, row: EndpointRow, revision: int) -> bool:
         departure = self.departures.get(endpoint_id)
@@ -112,10 +112,10 @@
             return False
         return revision <= departure.revision and _number(row, "up_since_ms") <= departure.up_since_ms
 
-    def _forget(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         while self.departures:
             oldest = next(iter(self.departures))
-            recent = now - self.departures[oldest].at < FORGET_S
+            recent = now - self.departures[oldest].departed_at < DEPARTURE_RETENTION_S
             if recent and len(self.departures) <= MAX_DEPARTURES:
                 return
             del self.departures[oldest]
--- a/ashpath/server/discovery/lease.py
+++ b/ashpath/server/discovery/lease.py
@@ -18,7 +18,7 @@
 from __future__ import annotations
 
 PAUSE_SHARE = 0.5  # of what is left: a pause leaves room for one more failure behind it
-LAST_POLL_S = 0.3  # kept back for the poll behind the last pause
+LAST_POLL_RESERVE_S = 0.3  # kept back for the poll behind the last pause
 MIN_PAUSE_S = 0.05
 
 
@@ -37,25 +37,27 @@
 
     def shorten(self, now: float, length_s: float) -> None:
         """The agent moved: what the new one has is to be read within `length_s`."""
-        self.expires_at = min(self.expires_at, now + length_s) if self.left(now) > 0 else now + length_s
+        self.expires_at = min(self.expires_at, now + length_s) if self.remaining(now) > 0 else now + length_s
         self.rejections = 0
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Seconds to its end; negative once it is over."""
         return self.expires_at - now
 
-    def silent_pause(self, now: float, drawn_s: float) -> float:
+    def pause_after_silence(self, now: float, backoff_s: float) -> float:
         """Of the pause that a backoff drew after silence, what the lease allows."""
-        if self.left(now) <= 0:
+        if self.remaining(now) <= 0:
             self.expires_at = now + self.length_s
-        return min(drawn_s, max(MIN_PAUSE_S, self.left(now) * PAUSE_SHARE))
+        return min(backoff_s, max(MIN_PAUSE_S, self.remaining(now) * PAUSE_SHARE))
 
-    def rejected_pause(self, now: float, drawn_s: float, drawn_share: float) -> float:
-        """The same after a rejection. `drawn_share`: the part of the longest pause that a random draw allows,
-        as all senders of a fleet may have been rejected at once."""
+    def pause_after_rejection(self, now: float, backoff_s: float, jitter_share: float) -> float:
+        """Returns the pause after a rejection: `backoff_s`, as far as the lease allows.
+
+        `jitter_share`: random share of the longest pause, as all senders of a fleet may have been rejected at
+        the same time."""
         self.rejections += 1
-        left = self.left(now) - LAST_POLL_S
-        if left <= 0:
-            return drawn_s
-        longest = left * PAUSE_SHARE if self.rejections == 1 else left
-        return min(drawn_s, max(MIN_PAUSE_S, longest * drawn_share))
+        remaining = self.remaining(now) - LAST_POLL_RESERVE_S
+        if remaining <= 0:
+            return backoff_s
+        longest = remaining * PAUSE_SHARE if self.rejections == 1 else remaining
+        return min(backoff_s, max(MIN_PAUSE_S, longest * jitter_share))
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -32,7 +32,7 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import stored_time
 
-NOWHERE: Address = ("127.0.0.1", 1)
+UNUSED_ADDRESS: Address = ("127.0.0.1", 1)
 ROW = {"id": "e1", "host_port": "127.0.0.1:1", "cell": 1, "phase": "up"}
 
 
@@ -103,17 +103,17 @@
         b'{"revision":9,"complete":true,"members":[]}',  # an agent that has lost its list
     ],
 )
-def test_what_cannot_be_read_or_believed_changes_nothing(body: bytes) -> None:
+def test_unreadable_or_empty_list_changes_nothing(body: bytes) -> None:
     listener = RecordingListener()
-    client = DiscoveryClient(NOWHERE, LIMITS, 3, listener, Random(1), LOG)
+    client = DiscoveryClient(UNUSED_ADDRESS, LIMITS, 3, listener, Random(1), LOG)
     assert not client.apply_response(body)
     assert client.revision == 3
     assert listener.reports == []
 
 
-def test_updates_and_snapshots_are_told_apart() -> None:
+def test_listener_receives_updates_and_snapshots_as_such() -> None:
     listener = RecordingListener()
-    client = DiscoveryClient(NOWHERE, LIMITS, 1, listener, Random(1), LOG)
+    client = DiscoveryClient(UNUSED_ADDRESS, LIMITS, 1, listener, Random(1), LOG)
     assert client.apply_response(b'{"revision":2,"complete":false,"members":[]}')
     assert client.revision == 2
     assert listener.reports == []
@@ -124,17 +124,17 @@
     assert listener.reports == [(1, True), (2, False)]
 
 
-def test_a_watch_falls_silent_as_an_endpoint_drains(world: World) -> None:
+def test_drain_is_received_after_watch_falls_silent(world: World) -> None:
     """Guards drains against a watch that never ends: what it missed counts as received 6 s after it fell
     silent, or 2 s after the wait that the poll may take."""
     listener = RecordingListener()
 
-    def fall_silent(sock: socket.socket, _: object) -> None:
+    def stop_answering(sock: socket.socket, _: object) -> None:
         world.config["known"] = {"revision": 2, "complete": False, "members": [{"phase": "draining"}]}
         world.servers[1].set_handle(world.serve_platform)
         gevent.sleep(30)
 
-    world.servers[1].set_handle(fall_silent)
+    world.servers[1].set_handle(stop_answering)
     client = DiscoveryClient(address_of(world.servers[1]), LIMITS, 1, listener, Random(1), LOG)
     began = monotonic()
     running = gevent.spawn(client.run)
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("name", NEXT_QUERIES)
-def test_what_is_polled_for_next(world: World, name: str) -> None:
+def test_response_determines_next_query(world: World, name: str) -> None:
     """Guards changes against being skipped: what an answer did not say is polled for again."""
     answers, next_query = NEXT_QUERIES[name]
     agent = ScriptedAgent(world, [*answers, "hold"])
@@ -174,7 +174,7 @@
     running.kill()
 
 
-def test_an_agent_that_moves_while_it_is_dialled(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_of_old_agent_is_ignored_after_move(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards changes: what the old agent still answers is not read, and its revisions are no other's."""
     old = ScriptedAgent(world, [{"revision": 41, "members": [{**ROW, "id": "stale"}]}, "hold"])
     new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("retry_after", [b"60", b""], ids=["with Retry-After", "without"])
-def test_an_agent_that_moves_within_a_pause(world: World, retry_after: bytes) -> None:
+def test_move_ends_pause_caused_by_old_agent(world: World, retry_after: bytes) -> None:
     """Guards drains after SIGHUP, which count 4 s later: a pause that the old agent caused is not sat out."""
     headers = [(b"Retry-After", retry_after)] if retry_after else []
     old = ScriptedAgent(world, [encode_message(b"HTTP/1.1 429 X", headers, b""), "hold"])
@@ -223,24 +223,24 @@
 
 
 @pytest.mark.parametrize("kind", FAILURES)
-def test_every_failed_poll_is_followed_by_one_within_six_seconds(kind: str) -> None:
+def test_failed_poll_is_followed_by_another_within_six_seconds(kind: str) -> None:
     """Guards drains: a change counts as received 6 s after the agent had it and could be reached, however
     often and however it failed before. The fleet's polls stay spread all the same."""
     fleet = 200
     fourth_pauses = []
     for seed in range(fleet):
-        client = DiscoveryClient(NOWHERE, LIMITS, 1, RecordingListener(), Random(seed), LOG)
+        client = DiscoveryClient(UNUSED_ADDRESS, LIMITS, 1, RecordingListener(), Random(seed), LOG)
         backoff, retry_after_s, lasts = FAILURES[kind](client)
         pauses = [backoff.next_pause(retry_after_s) for _ in range(8)]
         assert max(pauses) + lasts < 5.5
         fourth_pauses.append(pauses[3])
     if kind == "silent":
         return
-    crowd = max(sum(at <= other < at + 0.1 for other in fourth_pauses) for at in fourth_pauses)
-    assert crowd < fleet / 6, "all would come back at once"
+    largest_group = max(sum(at <= other < at + 0.1 for other in fourth_pauses) for at in fourth_pauses)
+    assert largest_group < fleet / 6, "all would come back at once"
 
 
-def test_what_the_agent_has_counts_from_the_first_moment(world: World) -> None:
+def test_agent_list_applies_before_first_attempt_after_restart(world: World) -> None:
     """Guards drains over a restart: the configuration's list may be old, and what the agent has had since
     counts before the first attempt. What was accepted goes to the successor."""
     log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
@@ -297,7 +297,7 @@
     return pauses[1:], [call.kwargs["now"] for call in logger.info.call_args_list]
 
 
-def test_pauses_are_drawn_and_grow(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_backoff_pauses_are_random_and_grow(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards the agent against a fleet killed together that comes back together. One that has rejected for a
     whole lease is overbooked: tries sooner than it takes to reject one keep it so, and no sender is
     answered."""
@@ -314,7 +314,7 @@
     assert sum(first) > 4 * sum(silent)
 
 
-def test_a_rejection_within_the_lease_pauses_for_a_part_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pause_after_rejection_is_bounded_by_lease(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards drains: a Retry-After does not put the list off past the time in which changes count as
     received. A fleet's first pauses are spread all the same."""
     first_pauses = []
@@ -323,5 +323,5 @@
         assert pauses[0] <= LIMITS.list_lease_s / 2
         assert max(pauses) <= LIMITS.list_lease_s
         first_pauses.append(pauses[0])
-    crowd = max(sum(at <= other < at + 0.1 for other in first_pauses) for at in first_pauses)
-    assert crowd < 100 / 6, "all would come back at once"
+    largest_group = max(sum(at <= other < at + 0.1 for other in first_pauses) for at in first_pauses)
+    assert largest_group < 100 / 6, "all would come back at once"
--- a/tests/server/discovery/test_departures.py
+++ b/tests/server/discovery/test_departures.py
@@ -6,17 +6,17 @@
 
 from ashpath.core.json_types import JsonObject
 from ashpath.server.discovery import departures as departures_module
-from ashpath.server.discovery.departures import FORGET_S, Departures, FilteredList
+from ashpath.server.discovery.departures import DEPARTURE_RETENTION_S, Departures, FilteredList
 from ashpath.server.discovery.snapshot import EndpointListResponse
 
-List = tuple[int, bool, dict[str, str | tuple[str, int]]]
+ListSpec = tuple[int, bool, dict[str, str | tuple[str, int]]]
 """Revision, whether it is whole, and phases by endpoint, some with the time of the endpoint's start."""
 
-UP: List = (4, True, {"a": "up", "b": "up"})
-DRAINED: List = (5, False, {"a": "draining"})
+UP: ListSpec = (4, True, {"a": "up", "b": "up"})
+DRAINED: ListSpec = (5, False, {"a": "draining"})
 
 # Lists in order (an int: that many seconds go by; "move": another agent), and whether `a` is up then.
-CASES: dict[str, tuple[list[List | int | str], bool]] = {
+CASES: dict[str, tuple[list[ListSpec | int | str], bool]] = {
     "an older whole list": ([UP, DRAINED, (3, True, {"a": "up", "b": "up"})], False),
     "the same revision once more": ([UP, DRAINED, (5, True, {"a": "up", "b": "up"})], False),
     "an older update": ([UP, DRAINED, (4, False, {"a": "up"})], False),
@@ -34,7 +34,7 @@
         [UP, DRAINED, "move", (1, True, {"a": "draining"}), (2, False, {"a": "up"})],
         True,
     ),
-    "long after": ([UP, DRAINED, int(FORGET_S), (3, True, {"a": "up", "b": "up"})], True),
+    "long after": ([UP, DRAINED, int(DEPARTURE_RETENTION_S), (3, True, {"a": "up", "b": "up"})], True),
     "never up before": ([(5, True, {"a": "draining"}), (3, True, {"a": "up"})], False),
 }
 
@@ -44,13 +44,13 @@
     return {"id": endpoint_id, "phase": name, "up_since_ms": since}
 
 
-def response(one: List) -> EndpointListResponse:
-    revision, whole, phases = one
+def response(spec: ListSpec) -> EndpointListResponse:
+    revision, whole, phases = spec
     return EndpointListResponse([row(*item) for item in phases.items()], whole, revision)
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_whether_an_endpoint_is_back(name: str) -> None:
+def test_departed_endpoint_returns_only_on_newer_evidence(name: str) -> None:
     steps, back = CASES[name]
     departures = Departures()
     now = 0.0
@@ -67,20 +67,20 @@
     assert ("a" in filtered.stale) is not back
 
 
-def test_what_an_older_list_adds_is_taken() -> None:
+def test_endpoint_added_by_older_list_is_accepted() -> None:
     departures = Departures()
     departures.filter(response(UP), 0.0)
     filtered = departures.filter(response((2, True, {"b": "up", "c": "up"})), 0.0)
     assert [each["id"] for each in filtered.rows] == ["b", "c"]
-    assert filtered.left == ["a"]
+    assert filtered.departed == ["a"]
 
 
-def test_rows_that_cannot_be_read_pass() -> None:
+def test_unreadable_rows_pass_the_filter() -> None:
     rows: list[JsonObject] = [{"id": []}, {"phase": "up"}, {"id": "a", "phase": "up", "up_since_ms": "soon"}]
     assert Departures().filter(EndpointListResponse(rows, True, 1), 0.0).rows == rows
 
 
-def test_the_table_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_table_of_departures_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(departures_module, "MAX_DEPARTURES", 3)
     departures = Departures()
     for number in range(9):
--- a/tests/server/discovery/test_endpoint_list_lease.py
+++ b/tests/server/discovery/test_endpoint_list_lease.py
@@ -111,13 +111,13 @@
         drain.watched()
         drain.drain()
         until(lambda: drain.agents[0].polls[-1].index == 5)
-        told = monotonic()
+        received_at = monotonic()
         if other_agent:
             drain.move(drain.agents[1].address)
         else:
             drain.agents[0].script.append(CLOSE)
             drain.agents[0].change(drain.members("up"), revision=3)
-        return told
+        return received_at
 
     return play
 
@@ -142,7 +142,7 @@
 }
 
 
-def late_calls(drain: DrainPlay, play: Scenario) -> str:
+def describe_late_calls(drain: DrainPlay, play: Scenario) -> str:
     """What was wrong with one play: empty, or how late the last call was."""
     try:
         received_by = play(drain)
@@ -155,11 +155,11 @@
         drain.stop()
 
 
-def test_no_call_to_a_draining_endpoint_whatever_polls_meet(tmp_path: Path) -> None:
+def test_no_call_to_draining_endpoint_despite_discovery_failures(tmp_path: Path) -> None:
     """Each row a sender of its own, all at once: the faults of one poll after the other."""
-    plays: dict[str, Callable[[], str]] = {}
+    results: dict[str, Callable[[], str]] = {}
     for number, (name, (scenario, agents)) in enumerate(SCENARIOS.items()):
         drain = DrainPlay(tmp_path / str(number), agents)
-        plays[name] = gevent.spawn(late_calls, drain, scenario).get
-    faults = {name: fault for name, get in plays.items() if (fault := get())}
+        results[name] = gevent.spawn(describe_late_calls, drain, scenario).get
+    faults = {name: fault for name, get in results.items() if (fault := get())}
     assert faults == {}
--- a/tests/server/discovery/test_lease.py
+++ b/tests/server/discovery/test_lease.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("mixture", product(FAILURES, repeat=2), ids="-".join)
 @pytest.mark.parametrize("moved", [False, True])
-def test_after_any_two_failures_a_poll_begins_within_the_lease(
+def test_next_poll_begins_within_lease_after_any_two_failures(
     mixture: tuple[str, ...], *, moved: bool
 ) -> None:
     """Behind a silent watch, or a move; with the longest pauses that backoffs draw."""
@@ -24,29 +24,31 @@
     if moved:
         lease.shorten(0.0, LIMITS.moved_list_lease_s)
     else:
-        now += lease.silent_pause(now, LIMITS.retry_s)
+        now += lease.pause_after_silence(now, LIMITS.retry_s)
     for failure in mixture:
         lasts_s, rejected = FAILURES[failure]
-        now += max(LIMITS.snapshot_s, lease.left(now) / 2) if lasts_s is None else lasts_s
-        pause = lease.rejected_pause(now, 4.5, 1.0) if rejected else lease.silent_pause(now, 0.2)
+        now += max(LIMITS.snapshot_s, lease.remaining(now) / 2) if lasts_s is None else lasts_s
+        pause = (
+            lease.pause_after_rejection(now, 4.5, 1.0) if rejected else lease.pause_after_silence(now, 0.2)
+        )
         now += pause
     allowed = 4.0 if moved else 6.0
     assert now < allowed - 0.2
 
 
-def test_a_lease_that_is_over_begins_anew_with_silence_and_not_with_a_rejection() -> None:
+def test_silence_restarts_expired_lease_but_rejection_does_not() -> None:
     lease = ListLease(0.0, 5.0)
-    assert lease.rejected_pause(6.0, 4.5, 0.5) == 4.5
-    assert lease.left(6.0) < 0
-    assert lease.silent_pause(6.0, 0.5) == 0.5
-    assert lease.left(6.0) == 5.0
+    assert lease.pause_after_rejection(6.0, 4.5, 0.5) == 4.5
+    assert lease.remaining(6.0) < 0
+    assert lease.pause_after_silence(6.0, 0.5) == 0.5
+    assert lease.remaining(6.0) == 5.0
     lease.renew(7.0)
-    assert lease.left(7.0) == 5.0
+    assert lease.remaining(7.0) == 5.0
 
 
-def test_a_move_never_lengthens_a_lease() -> None:
+def test_move_never_lengthens_the_lease() -> None:
     lease = ListLease(0.0, 5.0)
     lease.shorten(4.0, 3.0)
-    assert lease.left(4.0) == 1.0
+    assert lease.remaining(4.0) == 1.0
     lease.shorten(6.0, 3.0)
-    assert lease.left(6.0) == 3.0
+    assert lease.remaining(6.0) == 3.0
--- a/tests/server/discovery/test_pause.py
+++ b/tests/server/discovery/test_pause.py
@@ -9,7 +9,7 @@
 from ashpath.server.discovery.pause import InterruptiblePause
 
 
-def test_a_pause_that_is_interrupted_ends_at_once() -> None:
+def test_interrupted_pause_ends_at_once() -> None:
     pause = InterruptiblePause()
     began = monotonic()
     sleeper = gevent.spawn(pause.sleep, 30)
@@ -21,7 +21,7 @@
     assert monotonic() - began < 5
 
 
-def test_an_interrupt_without_a_pause_does_nothing() -> None:
+def test_interrupt_without_pause_has_no_effect() -> None:
     pause = InterruptiblePause()
     pause.interrupt()
     pause.sleep(0)
--- a/tests/server/discovery/test_snapshot.py
+++ b/tests/server/discovery/test_snapshot.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("complete", [True, False])
-def test_a_list(complete: bool) -> None:
+def test_valid_list_is_parsed_completely(complete: bool) -> None:
     flag = b"true" if complete else b"false"
     parsed = parse_response(b'{"revision": 7, "complete": %s, "members": [{"id": "a"}]}' % flag)
     assert parsed == EndpointListResponse([{"id": "a"}], complete=complete, revision=7)
@@ -29,10 +29,10 @@
         (b'{"revision": 1, "complete": true, "members": []}', EmptyListError),
     ],
 )
-def test_a_body_that_is_no_list(body: bytes, error: type[DiscoveryError]) -> None:
+def test_invalid_body_raises_discovery_error(body: bytes, error: type[DiscoveryError]) -> None:
     with pytest.raises(error):
         parse_response(body)
 
 
-def test_an_empty_update_is_a_list() -> None:
+def test_empty_update_is_a_valid_list() -> None:
     assert parse_response(b'{"revision": 2, "complete": false, "members": []}').rows == []
--- a/tests/server/discovery/test_state.py
+++ b/tests/server/discovery/test_state.py
@@ -7,7 +7,7 @@
 from ashpath.server.discovery.state import DiscoveryState, DiscoveryStateLog
 
 
-def test_changes_alone_are_logged() -> None:
+def test_only_state_changes_are_logged() -> None:
     logger = Mock()
     state_log = DiscoveryStateLog(logger)
     state_log.poll_ended(DiscoveryState.ANSWERING, 200, 1, 0.0)
