--- a/ashpath/server/discovery/__init__.py
+++ b/ashpath/server/discovery/__init__.py
@@ -1,9 +1,9 @@
-"""Service discovery: follows the platform's endpoint list, and reports each snapshot and update.
+"""Service discovery: polls the platform's endpoint list, and reports each snapshot and update.
 
-`client` polls (a watch that is renewed at once), `state` says how the polls end and logs each change,
-`snapshot` parses a response, `departures` keeps an older list from bringing back what left, `pause` waits
-between polls that failed, and `lease` says how long they may take together. The runtime makes a client where
-the configuration names an agent, and hands it a `MembershipListener`. The package never calls an endpoint,
-never reads a row's address (the listener does), and never takes away a list that was received before: while
-polls fail, it serves on.
+`client` polls (a watch that is renewed at once), `state` classifies the results of polls and logs each
+change, `snapshot` parses a response, `departures` prevents an older list from restoring endpoints that left,
+`pause` waits between failed polls, and `lease` bounds the total time of polls and pauses. The runtime creates
+a client if the configuration names an agent, and passes it a `MembershipListener`. The package never calls an
+endpoint, never reads a row's address (the listener does), and never withdraws a list that was received
+before: while polls fail, that list remains in use.
 """
--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -1,19 +1,20 @@
-"""Follows the endpoint list of the platform's agent: one poll at a time, through any failure.
-
-A poll with a revision is a watch: the agent answers as soon as its list is another, or after `watch_s`. A
-poll without one is answered at once by a snapshot, and is given up sooner. What a poll comes to, and when the
-next one follows, is the table of `state`. Whatever became of polls, the list is read anew within one lease
-(`lease`): a change counts as received by then, once the agent had it and could be reached:
-docs/architecture.md, "The way of a watch event", has the reasons.
-
-A poll that is not answered in its time goes on beside the next one, for `late_poll_s` from its start: an
-agent that is slow would else be given up each time just before it answers. A late list counts, unless another
-one was read since the poll began.
-
-Two backoffs, as two kinds of failure have opposite needs. Silence and refused connections are an outage,
-whose end is to be seen soon: short pauses. An agent that rejects has more polls than it can answer: a try
-sooner than it takes to reject one is the next such poll, so pauses are long. Both guard it against a fleet
-that failed together and would come back together. Both give way to the lease.
+"""Polls the endpoint list of the platform's agent, one poll at a time, and retries after any failure.
+
+A poll with a revision is a watch: the agent responds as soon as its list changes, or after `watch_s`. The
+agent responds to a poll without a revision at once, with a snapshot; such a poll has a shorter timeout. The
+table of `state` lists the results of a poll and when the next poll follows. After any sequence of failures,
+the list is read again within one lease (`lease`): a change counts as received by then, once the agent had it
+and was reachable. docs/architecture.md, "The way of a watch event", has the reasons.
+
+A poll that gets no response in time continues beside the next one, until `late_poll_s` after its start;
+otherwise polls of a slow agent would be aborted each time just before it responds. A late list is applied
+unless another list was read since the poll began.
+
+There are two backoffs, as two kinds of failure have opposite needs. Silence and refused connections are an
+outage, whose end should be detected soon, so pauses are short. An agent that rejects polls receives more of
+them than it can answer; a retry that comes sooner than the agent takes to reject one adds to the overload, so
+pauses are long. Both backoffs use random pauses, so that a fleet whose polls failed together does not return
+all at once. The lease limits the pauses of both.
 """
 
 from __future__ import annotations
@@ -46,29 +47,29 @@
 
 OK_STATUS = 200
 REJECTING_STATUSES = frozenset({429, 503})
-POLL_SHARE = 0.5  # of the lease, for one poll: another has to fit behind it
-MAX_LATE_POLLS = 2  # beside the one that is waited for
-MAX_LOGGED_IDS = 8  # of endpoints, in one line
+POLL_SHARE = 0.5  # share of the remaining lease for one poll, which leaves time for another
+MAX_LATE_POLLS = 2  # in addition to the current poll
+MAX_LOGGED_IDS = 8  # endpoint ids in one log line
 
 
 class Poll:
-    """One poll on its way, in a greenlet of its own."""
+    """A poll in progress, in a greenlet of its own."""
 
     def __init__(self, connection: AgentConnection, moves: int, lists_read: int) -> None:
         self.connection = connection
-        self.moves = moves  # of the agent, before it began
-        self.lists_read = lists_read  # the same
+        self.moves = moves  # `DiscoveryClient.moves` when the poll began
+        self.lists_read = lists_read  # `DiscoveryClient.lists_read` when the poll began
         self.response: HttpResponse | None = None
         self.ended = Event()
-        self.late = False  # nobody waits for it any more
+        self.late = False  # the client no longer waits for this poll
 
 
 class DiscoveryClient:
     """Polls one agent and reports to `listener`.
 
-    `pushed`: the agent has the list without asking for it, and answers at no cost.
-    `revision`: of the list that the configuration brought. `first_poll_delay_s`: seconds to wait with the
-    first poll, while that list serves."""
+    `pushed`: the list is pushed to the agent, which therefore answers polls at no cost.
+    `revision`: revision of the list in the configuration. `first_poll_delay_s`: seconds before the first
+    poll, during which that list is in use."""
 
     def __init__(
         self,
@@ -84,18 +85,18 @@
     ) -> None:
         self.connection = AgentConnection(address, limits)
         self.limits = limits
-        self.revision: int | None = revision  # polled for next; None: a snapshot
+        self.revision: int | None = revision  # revision of the next poll; None: poll for a snapshot
         self.listener = listener
         self.first_poll_delay_s = first_poll_delay_s
-        self.last_response_at = monotonic()  # when a list was last read; before that, the start
+        self.last_response_at = monotonic()  # time at which a list was last read, initially the start
         self.pause = InterruptiblePause()
         self.lease = ListLease(monotonic(), limits.list_lease_s)
         self.departures = Departures()
-        self.moves = 0  # how often the agent moved
+        self.moves = 0  # number of changes of agent
         self.lists_read = 0
-        self.late_polls: list[Poll] = []  # the oldest first
+        self.late_polls: list[Poll] = []  # oldest first
         self.pushed = pushed
-        self.stale_records = 0  # of lists that were older than one read before
+        self.stale_records = 0  # total of stale records in older lists
         self.random = random
         self.logger = logger
         self.state_log = DiscoveryStateLog(logger)
@@ -109,10 +110,10 @@
         )
 
     def move(self, address: Address) -> None:
-        """The agent is at `address` from now on.
+        """Polls the agent at `address` from now on, starting with a snapshot.
 
-        It may count revisions anew, and have missed or reported what the old one had not: a snapshot is
-        polled for. What the old one still answers is not read, and no pause that it caused is sat out."""
+        The new agent may number revisions from a new start, and its list may differ from that of the old
+        agent. Responses of the old agent are ignored, and a pause that its failure caused ends at once."""
         self.revision = None
         self.moves += 1
         self.departures.agent_moved()
@@ -126,19 +127,21 @@
             poll.connection.abort()
 
     def initial_snapshot(self) -> None:
-        """Polls before anything is sent: what the agent has by now counts as received from the first moment
-        of the process, and the configuration's list may be old. A poll that fails at once is tried again, as
-        an agent that resets or rejects is there; one that is silent has the list from nobody, and the
-        configuration's serves."""
+        """Polls for a snapshot before any message is sent.
+
+        The agent's current list counts as received from the start of the process, and the configuration's
+        list may be older. A poll that fails at once is retried, as an agent that resets or rejects is
+        running. After `initial_silence_s` of silence, or `initial_snapshots_s` of polls in all, the
+        configuration's list stays in use."""
         self.revision = None
-        self.first_poll_delay_s = 0.0  # the configuration's list serves unconfirmed: the next poll is at once
+        self.first_poll_delay_s = 0.0  # the configuration's list may be unconfirmed: poll at once
         give_up_at = monotonic() + self.limits.initial_snapshots_s
         silent_s = 0.0
         while silent_s < self.limits.initial_silence_s:
             began = monotonic()
             if self.apply_if_list(self.poll(self.limits.initial_snapshot_s)):
                 self.record_list_read()
-            if self.lists_read:  # by an earlier poll, perhaps
+            if self.lists_read:  # possibly by a late poll
                 return
             ended = monotonic()
             if ended - began >= self.limits.initial_snapshot_s:
@@ -151,28 +154,28 @@
     def run(self) -> None:
         """Polls until the process ends."""
         gevent.sleep(self.first_poll_delay_s)
-        self.first_poll_delay_s = 0.0  # where a fault begins this service anew
+        self.first_poll_delay_s = 0.0  # a restart of this service after a fault polls at once
         while True:
             self.poll_and_pause()
 
     def poll_and_pause(self) -> None:
-        """One poll, its state, and the pause behind it."""
+        """Polls once, logs a change of state, and pauses if the poll failed."""
         moves_before = self.moves
         response = self.poll(self.poll_timeout())
         if moves_before != self.moves:
-            return  # moved meanwhile
+            return  # the agent moved during the poll
         state = self.next_state(response)
         if state is DiscoveryState.ANSWERING:
             self.record_list_read()
         elif state is DiscoveryState.SILENT:
-            self.revision = None  # whoever answers next may have begun anew, and count its revisions anew
+            self.revision = None  # the agent may have restarted and reset its revisions
         status = 0 if response is None else response.status
         self.state_log.poll_ended(state, status, self.revision or 0, self.list_age())
         if state is not DiscoveryState.ANSWERING:
             self.pause.sleep(self.pause_length(state, response))
 
     def record_list_read(self) -> None:
-        """A list was read just now."""
+        """Records that a list was read now: renews the lease and resets the backoffs."""
         self.lists_read += 1
         self.last_response_at = monotonic()
         self.lease.renew(self.last_response_at)
@@ -180,12 +183,14 @@
         self.rejected_backoff.reset()
 
     def list_age(self) -> float:
-        """Seconds since a list was read."""
+        """Returns the seconds since a list was last read."""
         return monotonic() - self.last_response_at
 
     def poll_timeout(self) -> float:
-        """Seconds. A snapshot comes at once where all is well, and has longer where the lease has time: the
-        agent may be slow."""
+        """Returns the timeout of the next poll in seconds.
+
+        A healthy agent returns a snapshot at once. As the agent may be slow, a poll for a snapshot may take
+        longer if the lease has time."""
         watch_s = self.limits.watch_s + self.limits.watch_grace_s
         if self.revision is not None:
             return watch_s
@@ -195,7 +200,7 @@
         return min(watch_s, max(self.limits.snapshot_s, share_s))
 
     def poll(self, timeout_s: float) -> HttpResponse | None:
-        """The response, or None where none came in time."""
+        """Polls once; returns the response, or None if none arrived within `timeout_s`."""
         query = b""
         if self.revision is not None:
             query = b"?index=%d&wait=%d" % (self.revision, int(self.limits.watch_s * 1000))
@@ -213,7 +218,7 @@
         return None
 
     def run_poll(self, poll: Poll, request_line: bytes) -> None:
-        """Calls the agent, and takes what comes late."""
+        """Calls the agent for a poll, and applies its response if the poll is late."""
         poll.response = poll.connection.call(request_line, b"", self.limits.late_poll_s)
         poll.ended.set()
         if poll.late:
@@ -222,7 +227,7 @@
             self.apply_late_list(poll)
 
     def apply_late_list(self, poll: Poll) -> None:
-        """Applies the list of a poll that nobody waited for any more, if none was read since it began."""
+        """Applies the list of a late poll, unless another list was read or the agent moved since it began."""
         if poll.moves != self.moves or poll.lists_read != self.lists_read:
             return
         if poll.response is not None and self.apply_if_list(poll.response):
@@ -232,7 +237,7 @@
             self.pause.interrupt()
 
     def next_state(self, response: HttpResponse | None) -> DiscoveryState:
-        """What a poll came to; a list that can be read has been applied then."""
+        """Returns the state after a poll; applies the response if it is a readable list."""
         if response is None:
             return DiscoveryState.SILENT
         if self.apply_if_list(response):
@@ -242,7 +247,7 @@
         return DiscoveryState.UNREADABLE
 
     def pause_length(self, state: DiscoveryState, response: HttpResponse | None) -> float:
-        """Seconds to the next poll: what the backoff draws, as far as the lease allows."""
+        """Returns the seconds until the next poll: the backoff, limited by the lease."""
         now = monotonic()
         if state is DiscoveryState.REJECTING and response is not None:
             retry_after_s = parse_number(response.headers.get(wire_names.RETRY_AFTER_HEADER))
@@ -255,22 +260,22 @@
         return self.lease.pause_after_silence(now, backoff_s)
 
     def apply_if_list(self, response: HttpResponse | None) -> bool:
-        """Whether the response was a list that could be read; it has been applied then."""
+        """Applies the response if it is a readable list, and returns whether it was."""
         if response is None or response.status != OK_STATUS:
             return False
         return self.apply_response(response.body)
 
     def apply_response(self, body: bytes) -> bool:
-        """Reports a snapshot or an update to the listener; False where it cannot be read or believed.
+        """Reports a snapshot or an update to the listener; False if unreadable or an empty snapshot.
 
-        An update with a row that could not be read, and one counted from an earlier revision than ours, say
-        less than was changed: a snapshot is polled for next."""
+        An update with an unreadable row, or with an earlier revision than the last list, may lack
+        changes; the next poll requests a snapshot."""
         try:
             response = parse_response(body)
         except DiscoveryError:
             return False
         previous_revision = self.revision
-        self.revision = None  # also where the listener fails
+        self.revision = None  # applies also if the listener raises an exception
         every_row_read = True
         if response.rows:
             rows = self.filter_stale_rows(response)
@@ -281,7 +286,7 @@
         return True
 
     def filter_stale_rows(self, response: EndpointListResponse) -> list[EndpointRow]:
-        """The rows of a list, those of endpoints that stay out as draining; logs who leaves and who stays."""
+        """Returns the rows of a list, with stale ones as draining; logs departed and stale endpoints."""
         filtered = self.departures.filter(response, monotonic())
         if filtered.departed:
             self.logger.info(
--- a/ashpath/server/discovery/departures.py
+++ b/ashpath/server/discovery/departures.py
@@ -1,15 +1,15 @@
-"""Endpoints that left, so that an older list does not bring them back.
+"""Records endpoints that left, so that an older list does not restore them.
 
-An agent that restarts, or another one after a move, may be behind the list that was read already, and it may
-count its revisions anew. Of such a list all is taken but one thing: an endpoint whose drain or removal was
-read stays out until something newer says that it is back.
+A restarted agent, or another agent after a move, may have an older list than the one read before, and may
+number its revisions from a new start. Such a list is applied except for one part: an endpoint whose drain or
+removal was read stays draining until newer information lists it as up.
 
-| an endpoint that left is listed as up | it is |
+| a departed endpoint is listed as up | treated as |
 | --- | --- |
-| by a revision later than that of its departure | back |
-| with a later start than the one it left with | back: it was restarted |
-| by an agent that had it leave too, after a move, and later in that agent's own count | back |
-| longer after its departure than `DEPARTURE_RETENTION_S` | back: agents are not behind for so long |
+| in a later revision than that of its departure | up |
+| with a later start time than at its departure | up: the endpoint was restarted |
+| by another agent that has listed the departure as well, in a later revision of that agent | up |
+| `DEPARTURE_RETENTION_S` or longer after its departure | up: no agent is out of date for so long |
 | otherwise | still draining, and counted as stale |
 """
 
@@ -24,7 +24,7 @@
 from ashpath.server.discovery.snapshot import EndpointListResponse, EndpointRow
 
 DEPARTURE_RETENTION_S = 600.0
-MAX_DEPARTURES = 8192  # the latest are kept: endpoints that left within `DEPARTURE_RETENTION_S`
+MAX_DEPARTURES = 8192  # the oldest are removed beyond this number
 
 UP_PHASE = next(
     name for name, status in wire_names.ENDPOINT_STATUSES.items() if status is EndpointStatus.ACTIVE
@@ -35,41 +35,43 @@
 
 
 class Departure(Struct, frozen=True):
-    """How an endpoint left."""
+    """The drain, removal or absence with which an endpoint left."""
 
     revision: int
     up_since_ms: float
-    """The start that it left with, as far as it was listed."""
+    """The latest listed start time of the endpoint; 0 if none was listed."""
     departed_at: float
     """Seconds of the monotonic clock."""
     agent_number: int
-    """Which of the agents said so, by the number of moves before it."""
+    """The agent that listed the departure: the number of moves before it."""
 
 
 class FilteredList(Struct, frozen=True):
-    """A list without what is older than the one read before."""
+    """An endpoint list after the removal of stale information."""
 
     rows: list[EndpointRow]
     departed: list[str]
-    """Endpoints that leave with this list."""
+    """Ids of endpoints that leave with this list."""
     stale: list[str]
-    """Endpoints that it has up, and that stay out."""
+    """Ids of endpoints that the list has as up, and that stay draining."""
 
 
 class Departures:
-    """What was read of endpoints that leave; bounded by `MAX_DEPARTURES` and `DEPARTURE_RETENTION_S`."""
+    """Departures of endpoints, bounded by `MAX_DEPARTURES` and `DEPARTURE_RETENTION_S`."""
 
     def __init__(self) -> None:
-        self.departures: dict[str, Departure] = {}  # by endpoint id, the oldest first
-        self.listed: dict[str, float] = {}  # endpoints that are up, and the start that each was listed with
+        self.departures: dict[str, Departure] = {}  # by endpoint id, oldest first
+        self.listed: dict[str, float] = {}  # listed start time of each endpoint that is up
         self.agent_number = 0
 
     def agent_moved(self) -> None:
-        """Revisions are another agent's from now on, and may be counted anew."""
+        """Later lists come from another agent, whose revisions may start anew."""
         self.agent_number += 1
 
     def filter(self, response: EndpointListResponse, now: float) -> FilteredList:
-        """What may be taken of a list, in its order. `now`: seconds of the monotonic clock."""
+        """Returns the rows in the order of the list, with stale endpoints marked as draining.
+
+        `now`: seconds of the monotonic clock."""
         self._remove_expired(now)
         rows: list[EndpointRow] = []
         departed: list[str] = []
--- a/ashpath/server/discovery/errors.py
+++ b/ashpath/server/discovery/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a response of service discovery, and what ends a wait for one."""
+"""Errors in responses of service discovery, and the error that interrupts a wait for a response."""
 
 
 class DiscoveryError(Exception):
@@ -6,15 +6,15 @@
 
 
 class UnreadableListError(DiscoveryError):
-    """A response's body is no endpoint list."""
+    """The body of a response is not a valid endpoint list."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"no endpoint list: {reason}")
+        super().__init__(f"not a valid endpoint list: {reason}")
 
 
 class EmptyListError(DiscoveryError):
-    """A snapshot has no endpoint at all: the agent has lost its list, and is not believed."""
+    """A snapshot has no endpoints: the agent has lost its list, so the snapshot is not applied."""
 
 
 class AgentMovedError(DiscoveryError):
-    """The agent is at another address from now on. Thrown into a greenlet that pauses; it never leaves it."""
+    """The agent has moved to another address. Raised in a pausing greenlet, which handles it itself."""
--- a/ashpath/server/discovery/pause.py
+++ b/ashpath/server/discovery/pause.py
@@ -1,4 +1,4 @@
-"""A pause that another greenlet may cut short."""
+"""A pause that another greenlet may interrupt."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class InterruptiblePause:
-    """Used by one greenlet at a time."""
+    """A pause for one greenlet at a time."""
 
     def __init__(self) -> None:
-        self.active = False  # a greenlet is within the pause
-        # An event and no exception thrown into the sleeper: one thrown in the moment in which the pause ends
-        # would come out of whatever the sleeper does next.
+        self.active = False  # a greenlet is in `sleep`
+        # An event, as an exception raised in the sleeping greenlet just as the pause ends would surface in
+        # whatever the greenlet does next.
         self._interrupted = Event()
 
     def sleep(self, seconds: float) -> None:
-        """Returns after `seconds`, or after `interrupt`."""
+        """Returns after `seconds`, or earlier after a call of `interrupt`."""
         self._interrupted.clear()
         self.active = True
         self._interrupted.wait(seconds)
         self.active = False
 
     def interrupt(self) -> None:
-        """Ends the pause, if there is one, at the sleeper's next switch."""
+        """Ends the pause in progress, if any, as soon as the sleeping greenlet runs again."""
         self._interrupted.set()
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""The discovery client: snapshots, watches, backoff, and an agent that moves."""
+"""Discovery client: snapshots, watches, backoff and moves of the agent."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class RecordingListener:
-    """Keeps what is reported to it."""
+    """Records reported members."""
 
     def __init__(self) -> None:
         self.reports: list[tuple[int, bool]] = []  # how many rows, and whether it was a snapshot
@@ -50,7 +50,7 @@
 
 
 class RegistryListener:
-    """Applies what is reported to a registry, and to nothing else."""
+    """Applies reported members to a registry alone."""
 
     def __init__(self, registry: EndpointRegistry) -> None:
         self.registry = registry
@@ -60,9 +60,10 @@
 
 
 class ScriptedAgent:
-    """An agent that answers each poll as told, and notes the queries.
+    """An agent with scripted answers that records the query of each poll.
 
-    An answer is bytes, the arguments of `endpoint_list`, "hold" to say nothing, or None to reset."""
+    An answer is bytes, the arguments of `endpoint_list`, "hold" to send nothing, or None to reset the
+    connection."""
 
     def __init__(self, world: World, answers: list[Any], server: int = 1) -> None:
         self.queries: list[bytes] = []
@@ -125,8 +126,8 @@
 
 
 def test_drain_is_received_after_watch_falls_silent(world: World) -> None:
-    """Guards drains against a watch that never ends: what it missed counts as received 6 s after it fell
-    silent, or 2 s after the wait that the poll may take."""
+    """An endpoint drains while the watch is silent. The drain must be received within 6 s after the watch
+    fell silent, or 2 s after the longest wait of the poll; without a timeout the watch would never end."""
     listener = RecordingListener()
 
     def stop_answering(sock: socket.socket, _: object) -> None:
@@ -144,7 +145,7 @@
     running.kill()
 
 
-# What the agent answers, and what is polled for next. No index: a snapshot.
+# Answers of the agent, and the query of the next poll; a query without index asks for a snapshot.
 NEXT_QUERIES: dict[str, tuple[list[Any], bytes]] = {
     "an update": ([{"revision": 9, "complete": False, "members": [ROW]}], b"index=9"),
     "an indented list": ([{"revision": 9, "members": [ROW], "indent": 4}], b"index=9"),
@@ -162,7 +163,8 @@
 
 @pytest.mark.parametrize("name", NEXT_QUERIES)
 def test_response_determines_next_query(world: World, name: str) -> None:
-    """Guards changes against being skipped: what an answer did not say is polled for again."""
+    """After an answer that lacks changes or is unreadable, the next poll asks for them again, so that no
+    change is skipped."""
     answers, next_query = NEXT_QUERIES[name]
     agent = ScriptedAgent(world, [*answers, "hold"])
     listener = RegistryListener(DeliveryStages(world).registry)
@@ -175,7 +177,8 @@
 
 
 def test_response_of_old_agent_is_ignored_after_move(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards changes: what the old agent still answers is not read, and its revisions are no other's."""
+    """The agent moves while the client connects to the old one. A late response of the old agent must not be
+    applied, and its revision must not be sent to the new agent, whose revisions are unrelated."""
     old = ScriptedAgent(world, [{"revision": 41, "members": [{**ROW, "id": "stale"}]}, "hold"])
     new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
     listener = RecordingListener()
@@ -197,7 +200,8 @@
 
 @pytest.mark.parametrize("retry_after", [b"60", b""], ids=["with Retry-After", "without"])
 def test_move_ends_pause_caused_by_old_agent(world: World, retry_after: bytes) -> None:
-    """Guards drains after SIGHUP, which count 4 s later: a pause that the old agent caused is not sat out."""
+    """A drain must be received within 4 s after SIGHUP moves the agent. A pause that the old agent caused
+    would delay it, so the move ends the pause."""
     headers = [(b"Retry-After", retry_after)] if retry_after else []
     old = ScriptedAgent(world, [encode_message(b"HTTP/1.1 429 X", headers, b""), "hold"])
     new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
@@ -213,7 +217,7 @@
     running.kill()
 
 
-# How a poll may fail: the backoff it is followed by, its Retry-After, and how long it lasts at the most.
+# Kinds of failed polls: backoff used, Retry-After, and longest duration of the poll in seconds.
 FAILURES: dict[str, Callable[[DiscoveryClient], tuple[Backoff, float | None, float]]] = {
     "silent": lambda client: (client.silent_backoff, None, LIMITS.watch_s + LIMITS.watch_grace_s),
     "rejected": lambda client: (client.rejected_backoff, None, 0.5),
@@ -224,8 +228,8 @@
 
 @pytest.mark.parametrize("kind", FAILURES)
 def test_failed_poll_is_followed_by_another_within_six_seconds(kind: str) -> None:
-    """Guards drains: a change counts as received 6 s after the agent had it and could be reached, however
-    often and however it failed before. The fleet's polls stay spread all the same."""
+    """A change must be received within 6 s after the agent had it and was reachable, after any number and
+    kind of failed polls. The pauses of a fleet must remain spread nevertheless."""
     fleet = 200
     fourth_pauses = []
     for seed in range(fleet):
@@ -237,12 +241,12 @@
     if kind == "silent":
         return
     largest_group = max(sum(at <= other < at + 0.1 for other in fourth_pauses) for at in fourth_pauses)
-    assert largest_group < fleet / 6, "all would come back at once"
+    assert largest_group < fleet / 6, "too many senders would poll at the same time"
 
 
 def test_agent_list_applies_before_first_attempt_after_restart(world: World) -> None:
-    """Guards drains over a restart: the configuration's list may be old, and what the agent has had since
-    counts before the first attempt. What was accepted goes to the successor."""
+    """After a restart the configuration's list may be old. The agent's list must be applied before the first
+    attempt, so that an accepted message goes to the successor of a drained endpoint."""
     log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
     assert log.record_submitted(StoredMessage(1, "a", 0, 1, None, None, stored_time() + 20_000_000, b"200"))
     log.close()
@@ -261,7 +265,7 @@
 
 
 class PausesTakenError(Exception):
-    """Ends a client that would poll for ever."""
+    """Ends a client that would otherwise poll forever."""
 
 
 def pauses_of_client(
@@ -272,7 +276,7 @@
     *,
     lease_over: bool = False,
 ) -> tuple[list[float], list[str]]:
-    """Seven pauses of a client whose polls all end so (status 0: silence), and the states it logged."""
+    """Returns seven pauses, and the states logged, of a client whose polls end with `status` (0: silence)."""
     pauses: list[float] = []
 
     def record_pause(seconds: float) -> None:
@@ -292,31 +296,33 @@
     monkeypatch.setattr(client.pause, "sleep", record_pause)
     with pytest.raises(PausesTakenError):
         client.run()
-    assert pauses[0] == 0.7  # before the first poll
+    assert pauses[0] == 0.7  # the delay before the first poll
     assert client.state_log.counts[client.state_log.state] == 7
     return pauses[1:], [call.kwargs["now"] for call in logger.info.call_args_list]
 
 
 def test_backoff_pauses_are_random_and_grow(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the agent against a fleet killed together that comes back together. One that has rejected for a
-    whole lease is overbooked: tries sooner than it takes to reject one keep it so, and no sender is
-    answered."""
+    """Senders of a fleet that were killed together must not poll the agent in step after their restart. An
+    agent that has rejected for a whole lease is overloaded: retries that come sooner than it takes to reject
+    one keep it overloaded, and no sender gets a list."""
     first, logged_first = pauses_of_client(monkeypatch, "a", 503, {}, lease_over=True)
     second, logged_second = pauses_of_client(monkeypatch, "b", 429, {}, lease_over=True)
     waited, logged_waited = pauses_of_client(monkeypatch, "c", 503, {b"retry-after": b"3"}, lease_over=True)
     silent, logged_silent = pauses_of_client(monkeypatch, "d", 0, {})
-    assert logged_first == logged_second == logged_waited == ["turns calls away"]  # once
+    assert logged_first == logged_second == logged_waited == ["turns calls away"]  # logged once
     assert logged_silent == ["silent"]
     assert first != second  # not in step
-    assert all(pause >= 3 for pause in waited)  # Retry-After is heeded
-    assert max(silent) <= LIMITS.discovery_backoff_s < 4 * LIMITS.watch_s  # an outage's end is seen soon
+    assert all(pause >= 3 for pause in waited)  # the pauses respect Retry-After
+    assert (
+        max(silent) <= LIMITS.discovery_backoff_s < 4 * LIMITS.watch_s
+    )  # short, to detect the end of an outage soon
     assert max(first) <= LIMITS.discovery_rejected_backoff_s
     assert sum(first) > 4 * sum(silent)
 
 
 def test_pause_after_rejection_is_bounded_by_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards drains: a Retry-After does not put the list off past the time in which changes count as
-    received. A fleet's first pauses are spread all the same."""
+    """A Retry-After must not delay the next list past the time within which changes count as received. The
+    first pauses of a fleet must remain spread nevertheless."""
     first_pauses = []
     for seed in range(100):
         pauses, _ = pauses_of_client(monkeypatch, str(seed), 503, {b"retry-after": b"60"})
@@ -324,4 +330,4 @@
         assert max(pauses) <= LIMITS.list_lease_s
         first_pauses.append(pauses[0])
     largest_group = max(sum(at <= other < at + 0.1 for other in first_pauses) for at in first_pauses)
-    assert largest_group < 100 / 6, "all would come back at once"
+    assert largest_group < 100 / 6, "too many senders would poll at the same time"
--- a/tests/server/discovery/test_departures.py
+++ b/tests/server/discovery/test_departures.py
@@ -1,4 +1,4 @@
-"""What an older list may change, and what it may not."""
+"""Departures: the changes that an older endpoint list may make, and those that it may not."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from ashpath.server.discovery.snapshot import EndpointListResponse
 
 ListSpec = tuple[int, bool, dict[str, str | tuple[str, int]]]
-"""Revision, whether it is whole, and phases by endpoint, some with the time of the endpoint's start."""
+"""Revision, whether the list is complete, and phase by endpoint, some with the endpoint's start time."""
 
 UP: ListSpec = (4, True, {"a": "up", "b": "up"})
 DRAINED: ListSpec = (5, False, {"a": "draining"})
 
-# Lists in order (an int: that many seconds go by; "move": another agent), and whether `a` is up then.
+# Lists in order (an int: seconds that pass; "move": another agent), and whether `a` is up at the end.
 CASES: dict[str, tuple[list[ListSpec | int | str], bool]] = {
-    "an older whole list": ([UP, DRAINED, (3, True, {"a": "up", "b": "up"})], False),
+    "an older complete list": ([UP, DRAINED, (3, True, {"a": "up", "b": "up"})], False),
     "the same revision once more": ([UP, DRAINED, (5, True, {"a": "up", "b": "up"})], False),
     "an older update": ([UP, DRAINED, (4, False, {"a": "up"})], False),
     "a later revision": ([UP, DRAINED, (6, False, {"a": "up"})], True),
--- a/tests/server/discovery/test_endpoint_list_lease.py
+++ b/tests/server/discovery/test_endpoint_list_lease.py
@@ -1,11 +1,12 @@
-"""Calls to endpoints that drained while service discovery failed: real senders, agents that fail by a script.
+"""No calls to endpoints that drained while discovery failed: real senders, agents with scripted faults.
 
-Seen: a sender under injected faults called an endpoint 1.09 s after its drain counted, the grace being 1 s.
-How it came about: service discovery was silent from the first watch on, and came back with the drain, which
+Failure: a sender under injected faults called an endpoint 1.09 s after its drain counted; the grace is 1 s.
+Sequence: service discovery was silent from the first watch on, and returned together with the drain, which
 counts at once where lists are pushed; the list was read 1.1 to 1.3 s later.
-Cause: the poll that was out as discovery came back is never answered, and was waited for up to its time; more
-widely, each failed poll had a limit of its own, and nothing counted from the last list or the return.
-Proof: a replay whose log has the age and revision of the list; the rows below, each a single order of faults.
+Cause: the poll in progress when discovery returned was never answered, and the client waited for it until its
+timeout. More generally, each failed poll had a limit of its own, and no deadline ran from the last list or
+from the return of discovery. A replay whose log has the age and revision of the list shows this; each
+scenario below is a single sequence of faults.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 from ashpath.emulator.fault_injection.discovery_agent import AgentReply
 from ashpath.emulator.fault_injection.tcp_proxy import FullBacklog
 
-SILENCE_ALLOWED_S = 6.0  # from the moment in which a watch fell silent
+SILENCE_ALLOWED_S = 6.0  # from the moment at which a watch fell silent
 MOVE_ALLOWED_S = 4.0  # from SIGHUP
-GRACE_S = 0.25 + 0.05  # of the settings, and what a call may take to begin
+GRACE_S = 0.25 + 0.05  # drain grace of the settings, plus the time that a call may take to start
 ONE_SECOND_GRACE_S = 1.0
 OUTAGE_S = 5.3
-CALLS_AFTER_S = 1.5  # calls are watched for so long past the end of the grace
+CALLS_AFTER_S = 1.5  # calls are recorded for so long after the end of the grace
 
 SILENT = AgentReply.SILENT
 REJECT = AgentReply.REJECT
@@ -36,7 +37,7 @@
 
 
 def after_silence(*replies: AgentReply, delay_s: float = 0.0) -> Scenario:
-    """The watch falls silent as the endpoint drains, and the polls that follow meet these replies."""
+    """The watch falls silent as the endpoint drains; the polls that follow get these replies."""
 
     def play(drain: DrainPlay) -> float:
         drain.start()
@@ -54,8 +55,8 @@
 
 
 def after_outage(drain: DrainPlay) -> float:
-    """Discovery is silent for a while, and comes back with the drain, which counts as received at once: the
-    grace of a second is all there is."""
+    """Discovery is silent for a while, and returns together with the drain. The drain counts as received at
+    once, so only the grace of one second remains."""
     drain.start()
     drain.watched()
     agent = drain.agents[0]
@@ -70,7 +71,7 @@
 def after_moves(
     *replies: AgentReply, moves: int = 1, through_full_backlog: bool = False, delay_s: float = 0.0
 ) -> Scenario:
-    """SIGHUP moves discovery, and the polls of the last agent meet these replies first."""
+    """SIGHUP moves discovery; the first polls of the last agent get these replies."""
 
     def play(drain: DrainPlay) -> float:
         drain.start()
@@ -83,7 +84,7 @@
         backlog = FullBacklog() if through_full_backlog else None
         if backlog is not None:
             drain.move(f"{backlog.address[0]}:{backlog.address[1]}")
-            gevent.sleep(0.1)  # the dial is on its way
+            gevent.sleep(0.1)  # the connect is in progress
         for _ in range(moves):
             drain.move(last.address)
         return monotonic() + MOVE_ALLOWED_S
@@ -92,7 +93,8 @@
 
 
 def start_with(*replies: AgentReply) -> Scenario:
-    """The agent has the drain before the sender starts, the file does not, and the first polls fail."""
+    """Before the sender starts, the agent has the drain and the configuration file does not; the first polls
+    get these replies."""
 
     def play(drain: DrainPlay) -> float:
         drain.drain()
@@ -104,7 +106,7 @@
 
 
 def older_list(*, other_agent: bool) -> Scenario:
-    """The drain has been read, and then a whole list of an earlier revision comes that has it up."""
+    """After the drain was read, a complete list of an earlier revision lists the endpoint as up."""
 
     def play(drain: DrainPlay) -> float:
         drain.start()
@@ -143,7 +145,7 @@
 
 
 def describe_late_calls(drain: DrainPlay, play: Scenario) -> str:
-    """What was wrong with one play: empty, or how late the last call was."""
+    """Runs a scenario; returns an empty string, or a description of its fault."""
     try:
         received_by = play(drain)
         gevent.sleep(max(0.0, received_by - monotonic()) + GRACE_S + CALLS_AFTER_S)
@@ -156,7 +158,7 @@
 
 
 def test_no_call_to_draining_endpoint_despite_discovery_failures(tmp_path: Path) -> None:
-    """Each row a sender of its own, all at once: the faults of one poll after the other."""
+    """Runs one sender for each scenario, concurrently."""
     results: dict[str, Callable[[], str]] = {}
     for number, (name, (scenario, agents)) in enumerate(SCENARIOS.items()):
         drain = DrainPlay(tmp_path / str(number), agents)
--- a/tests/server/discovery/test_lease.py
+++ b/tests/server/discovery/test_lease.py
@@ -1,4 +1,4 @@
-"""One deadline over all failures in a row."""
+"""Endpoint list lease: one deadline for all consecutive failures."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ashpath.server.discovery.lease import ListLease
 
-# How long a failed poll takes at the most, and whether the agent rejected it.
+# Longest duration of a failed poll in seconds (None: its timeout), and whether the agent rejected it.
 FAILURES = {"silent": (None, False), "reset": (0.0, False), "rejected": (0.05, True)}
 
 
@@ -18,7 +18,7 @@
 def test_next_poll_begins_within_lease_after_any_two_failures(
     mixture: tuple[str, ...], *, moved: bool
 ) -> None:
-    """Behind a silent watch, or a move; with the longest pauses that backoffs draw."""
+    """After a silent watch or a move, with the longest pauses of the backoffs."""
     lease = ListLease(0.0, LIMITS.list_lease_s)
     now = 0.0 if moved else LIMITS.watch_s + LIMITS.watch_grace_s
     if moved:
--- a/tests/server/discovery/test_pause.py
+++ b/tests/server/discovery/test_pause.py
@@ -1,4 +1,4 @@
-"""A pause that another greenlet cuts short."""
+"""Interruptible pause: end by another greenlet."""
 
 from __future__ import annotations
 
--- a/tests/server/discovery/test_snapshot.py
+++ b/tests/server/discovery/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Parsing of the agent's responses."""
+"""Parsing of responses of the discovery agent."""
 
 from __future__ import annotations
 
--- a/tests/server/discovery/test_state.py
+++ b/tests/server/discovery/test_state.py
@@ -1,4 +1,4 @@
-"""One log line for each change of how polls end."""
+"""Log of discovery states: one line for each change of state."""
 
 from __future__ import annotations
 
