--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: reuse, limits, idle times."""
+"""Connection pool: reuse, limits and idle times of connections to endpoints."""
 
 from __future__ import annotations
 
@@ -15,38 +15,39 @@
 
 
 def endpoint_address(world: World) -> Address:
-    """Where all endpoints of the world listen."""
+    """The address at which all endpoints of the world listen."""
     port = world.servers[0].server_port
     assert port is not None
     return "127.0.0.1", port
 
 
-def make_older(pool: ConnectionPool, index: int, seconds: float) -> None:
-    """An idle connection of endpoint e1 was idle for so much longer."""
+def backdate_idle_connection(pool: ConnectionPool, index: int, seconds: float) -> None:
+    """Makes an idle connection of endpoint e1 look idle for `seconds` longer."""
     since, connection = pool.idle["e1"][index]
     pool.idle["e1"][index] = IdleConnection(since - seconds, connection)
 
 
-def test_what_cannot_carry_a_request_is_closed(world: World) -> None:
-    """Closed, spoilt and long idle connections carry no request."""
+def test_unusable_idle_connections_are_closed(world: World) -> None:
+    """Connections that are closed by the far end, hold unexpected bytes or were idle for too long are closed,
+    both on reuse and by the sweep."""
     pool = ConnectionPool(LIMITS)
     good, closed, spoilt, old = (pool.connect(endpoint_address(world)) for _ in range(4))
     for connection in (closed, spoilt, good, old):
         pool.release("e1", connection)
-    closed.write(b"nonsense\r\n\r\n")  # upon which the far end closes
-    spoilt.write(request("s", "free", "200", 1))  # a response that nobody waits for
+    closed.write(b"nonsense\r\n\r\n")  # the far end closes the connection in response
+    spoilt.write(request("s", "free", "200", 1))  # leaves a response that nobody reads
     until(lambda: not closed.is_quiet() and not spoilt.is_quiet())
     assert pool.acquire_idle("e1") is good
     assert pool.open == 2
-    make_older(pool, 0, LIMITS.endpoint_idle_s)
+    backdate_idle_connection(pool, 0, LIMITS.endpoint_idle_s)
     pool.release("e1", good)
     pool.sweep()
     assert [idle.connection for idle in pool.idle["e1"]] == [good]
     assert pool.open == 1
 
 
-def test_idle_connections_give_way_to_new_ones(world: World) -> None:
-    """No more are open than the limit says; the longest idle one makes room."""
+def test_longest_idle_connection_is_evicted_at_the_limit(world: World) -> None:
+    """At the limit, a new connection replaces the longest idle one; without an idle one, acquire fails."""
     pool = ConnectionPool(LIMITS)
     address = endpoint_address(world)
     pool.release("e1", pool.connect(address))
@@ -63,24 +64,25 @@
     assert pool.open == LIMITS.endpoint_connections - 1
 
 
-def test_idle_connections_that_are_dropped_in_silence(world: World) -> None:
-    """A far end that resets what was idle for a while: younger ones are trusted, and from then on first."""
+def test_reset_of_idle_connection_shortens_idle_limit(world: World) -> None:
+    """A far end resets connections that were idle for a while, without a FIN before. The pool then closes
+    connections after a shorter idle time, and reuses the most recently used connection first."""
     stages = DeliveryStages(world)
     pool = stages.pool
     address = endpoint_address(world)
 
-    def drop(sock: socket.socket, _: object) -> None:
+    def reset_after_request(sock: socket.socket, _: object) -> None:
         HttpConnection(sock, LIMITS).read_request()
         reset_connection(sock)
 
     old, young = (pool.connect(address) for _ in range(2))
     for connection, age in ((old, 1.0), (young, 0.2)):
         pool.release("e1", connection)
-        make_older(pool, -1, age)
+        backdate_idle_connection(pool, -1, age)
     assert pool.acquire_idle("e1") is old
     pool.release("e1", old)
-    world.servers[0].set_handle(drop)
-    stages.start("a", b"reset")  # on the young one, the longest idle now
+    world.servers[0].set_handle(reset_after_request)
+    stages.start("a", b"reset")  # uses the young connection, now the longest idle
     until(lambda: stages.outcomes == [AttemptOutcome.CONNECTION_RESET])
     assert 0.1 < pool.idle_limit("e1") < 0.2
     assert pool.idle_limit("e2") == LIMITS.endpoint_idle_s
@@ -88,13 +90,13 @@
     pool.release("e1", last)
     assert pool.acquire_idle("e1") is last
     pool.release("e1", last)
-    stages.start("b", b"reset")  # on the last one, fresh from a request: that it was idle is no cause
+    stages.start("b", b"reset")  # uses the last connection, which was hardly idle: the limit stays
     until(lambda: len(stages.outcomes) == 2)
     assert pool.idle_limit("e1") > 0.1
     pool.close_idle("e1")
     third = pool.connect(address)
     pool.release("e1", third)
-    make_older(pool, 0, 1.0)
+    backdate_idle_connection(pool, 0, 1.0)
     assert pool.acquire_idle("e1") is None
     assert third.unusable
     pool.idle_limits["e1"] = IdleLimit(longest_idle=0.5, until=0.0)
--- a/tests/server/delivery/test_endpoint_registry.py
+++ b/tests/server/delivery/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Addresses of endpoints, and successors at the same address."""
+"""Endpoint registry: addresses, successors at the same address, served destinations."""
 
 from __future__ import annotations
 
@@ -12,43 +12,48 @@
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 
 
-def test_successor_at_an_address(world: World) -> None:
-    """Connections of an endpoint that is gone carry no call for the one that took its address."""
+def test_successor_at_same_address_gets_no_old_connection(world: World) -> None:
+    """Connections of a removed endpoint, idle or in use, are not reused for the endpoint that took over its
+    address."""
     stages = DeliveryStages(world)
     stages.start("a", b"200")
     slow = stages.start("b", b"slow")
     until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED] and slow.written and stages.pool.idle)
     old = stages.pool.idle["e1"][0][1]
     stages.registry.apply_members(
-        [{**world.members[1], "phase": "removed"}, {**world.members[1], "id": "new"}], whole=False
+        [{**world.members[1], "phase": "removed"}, {**world.members[1], "id": "new"}], complete=False
     )
     assert old.unusable
     assert not stages.pool.idle
-    until(lambda: len(stages.outcomes) == 2 and not stages.pool.open)  # nor the one that was out
+    until(
+        lambda: len(stages.outcomes) == 2 and not stages.pool.open
+    )  # the connection that was in use closes as well
     stages.start("c", b"200", "new")
     until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
     assert list(stages.pool.idle) == ["new"]
 
 
-def test_a_drain_counts_however_its_member_is_spoilt(world: World) -> None:
-    """The address of an endpoint that leaves is no matter: nothing more is sent there."""
+def test_drain_applies_despite_unreadable_address(world: World) -> None:
+    """A drain without a readable address applies, as nothing more is sent there. An endpoint that is up
+    needs a readable address."""
     registry = DeliveryStages(world).registry
     draining = {"id": "e1", "cell": 1, "phase": "draining", "host_port": None}
-    assert not registry.apply_members([draining], whole=False).unreadable
+    assert not registry.apply_members([draining], complete=False).unreadable
     listed_again = {**draining, "phase": "up", "host_port": "127.0.0.1:70000"}
     assert "e1" not in registry.addresses
-    assert registry.apply_members([listed_again], whole=False).unreadable == 1
+    assert registry.apply_members([listed_again], complete=False).unreadable == 1
 
 
-def test_destinations_served() -> None:
-    """A destination between an endpoint and its successor is served; one long without any is forgotten."""
+def test_destination_without_endpoint_is_served_until_forgotten() -> None:
+    """A destination stays served between the removal of an endpoint and the listing of its successor, and is
+    forgotten after `forget_destination_s` without endpoints."""
     registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), LOG)
     row = {"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}
-    registry.apply_members([row], whole=True)
-    registry.apply_members([], whole=True)
+    registry.apply_members([row], complete=True)
+    registry.apply_members([], complete=True)
     assert registry.serves(1)
     assert not registry.serves(2)
     registry.pool.limits = replace(LIMITS, forget_destination_s=0.0)
-    registry.apply_members([{**row, "cell": 2}], whole=True)
+    registry.apply_members([{**row, "cell": 2}], complete=True)
     assert registry.serves(2)
     assert not registry.serves(1)
--- a/tests/server/delivery/test_http_notifier.py
+++ b/tests/server/delivery/test_http_notifier.py
@@ -1,4 +1,4 @@
-"""Notifications by HTTP, against a receiver that answers by a script."""
+"""HTTP notifier, against a receiver with scripted responses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ScriptedReceiver:
-    """Answers each call with the next status, 0 for silence; the last one for good. Keeps the ids it got."""
+    """Returns the next status for each call (0: no response), the last one repeatedly; records the ids."""
 
     def __init__(self, statuses: list[int]) -> None:
         self.statuses = statuses
@@ -43,7 +43,7 @@
 
 
 def notify(monkeypatch: pytest.MonkeyPatch, statuses: list[int], logger: Mock) -> ScriptedReceiver:
-    """Notifies of the messages a, b, c, until all are acknowledged."""
+    """Sends notifications of the messages a, b, c until all are acknowledged; returns the receiver."""
     receiver = ScriptedReceiver(statuses)
     backoff = Backoff(Random(0), min_s=0.001, max_s=0.002)
     notifier = HttpNotifier(RECEIVER, LIMITS, Mock(), logger, backoff)
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("status", [204, 200])
-def test_an_acknowledged_batch_is_sent_once(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
+def test_acknowledged_batch_is_sent_once(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
     receiver = notify(monkeypatch, [status], Mock())
     assert receiver.batches == [["a", "b", "c"]]
     assert receiver.request_lines == {b"POST /ends HTTP/1.1"}
@@ -65,13 +65,14 @@
 
 
 @pytest.mark.parametrize("status", [0, 503, 500, 404])
-def test_a_batch_is_sent_until_it_is_acknowledged(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
+def test_batch_is_resent_until_acknowledged(monkeypatch: pytest.MonkeyPatch, status: int) -> None:
     receiver = notify(monkeypatch, [status, status, 204], Mock())
     assert receiver.batches == [["a", "b", "c"]] * 3
 
 
-def test_a_line_that_cannot_be_read_holds_up_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each goes alone then; the one is logged and dropped, and the rest goes as a batch again."""
+def test_rejected_line_does_not_block_other_lines(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a 400 to a batch, lines are sent alone. A line that is rejected alone is logged and dropped, and
+    the remaining lines are sent as a batch again."""
     logger = Mock()
     receiver = notify(monkeypatch, [400, 400, 204], logger)
     assert receiver.batches == [["a", "b", "c"], ["a"], ["b", "c"]]
@@ -80,7 +81,7 @@
     )
 
 
-def test_a_move_changes_the_path_and_the_headers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_move_changes_address_path_and_headers(monkeypatch: pytest.MonkeyPatch) -> None:
     receiver = ScriptedReceiver([204])
     notifier = HttpNotifier(RECEIVER, LIMITS, Mock(), Mock(), Backoff(Random(0), 0.1, 0.2))
     monkeypatch.setattr(notifier.connection, "call", receiver.call)
