--- a/ashpath/bench_adapter/policy_instance.py
+++ b/ashpath/bench_adapter/policy_instance.py
@@ -38,7 +38,7 @@
     def __init__(self, seed: int, settings: Row, endpoint_lists: EndpointLists) -> None:
         self.actions = RecordedActions()
         self.endpoint_lists = endpoint_lists
-        self.faulty = False
+        self.failed = False
         self.report_fields = load_report_fields(settings)
         self.policy = DeliveryPolicy(policy_settings(seed, settings), self.actions)
         self.handlers: dict[str, Callable[[Any], None]] = {  # a field that is missing is a KeyError
@@ -52,16 +52,16 @@
 
     def begin_batch(self, now: int) -> None:
         """The time of all events until `end_batch`, in microseconds."""
-        if self.faulty:
+        if self.failed:
             return
         try:
             self.policy.begin_batch(now)
         except Exception as error:
-            self._judge(error)
+            self._handle_exception(error)
 
     def handle(self, name: str, body: Row) -> None:
         """One event. Raises BenchProtocolError where it is not the wire's."""
-        if self.faulty:
+        if self.failed:
             return
         handler = self.handlers.get(name)
         if handler is None:
@@ -71,20 +71,20 @@
         try:
             handler(body)
         except Exception as error:
-            self._judge(error)
+            self._handle_exception(error)
 
     def end_batch(self) -> list[Row]:
         """The actions of the batch."""
-        if not self.faulty:
+        if not self.failed:
             try:
                 self.policy.end_batch()
             except Exception as error:
-                self._judge(error)
+                self._handle_exception(error)
         return self.actions.take()
 
-    def _judge(self, error: Exception) -> None:
+    def _handle_exception(self, error: Exception) -> None:
         # An exception inside the policy is an action of the wire; what this module raises is bad input.
-        self.faulty = True
+        self.failed = True
         trace = error.__traceback__
         while trace and trace.tb_next:
             trace = trace.tb_next
--- a/ashpath/core/destination_state.py
+++ b/ashpath/core/destination_state.py
@@ -71,7 +71,7 @@
         if before is None or (before.gate is self.gate) == self.limit_per_endpoint:  # new, or kinds changed
             self.known[row.endpoint_id] = self._new_endpoint(row, before)
         endpoint = self.known[row.endpoint_id]
-        endpoint.gate.rate_listed(row.listed_rate)
+        endpoint.gate.apply_listed_rate(row.listed_rate)
         others = [e for e in self.endpoints if e.endpoint_id != row.endpoint_id]
         serves = row.status is EndpointStatus.ACTIVE and row.endpoint_id not in state.detached
         self.endpoints = [endpoint, *others] if serves else others
--- a/ashpath/core/gate_state.py
+++ b/ashpath/core/gate_state.py
@@ -59,15 +59,15 @@
         """None if a call may go now, else the time to check again (0: an outcome will tell)."""
 
     @abstractmethod
-    def judge(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
+    def apply_outcome(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
         """Learns from a call's one outcome."""
 
     @abstractmethod
-    def rate_listed(self, rate: float) -> None:
+    def apply_listed_rate(self, rate: float) -> None:
         """The endpoint list has a rate; 0: none."""
 
     @abstractmethod
-    def return_reported(self) -> None:
+    def recovery_reported(self) -> None:
         """Another sender delivered after an outage."""
 
     def attempt_started(self, attempt: Attempt) -> None:
@@ -84,7 +84,7 @@
         recovery_bucket.tokens = max(0.0, recovery_bucket.tokens - 1)
         self.rate_limit.bucket.tokens -= 1
 
-    def attempt_over(self, attempt: Attempt) -> None:
+    def attempt_ended(self, attempt: Attempt) -> None:
         """Gives the call's place back."""
         self.in_flight -= 1
         attempt.endpoint.in_flight -= 1
--- a/ashpath/core/messages.py
+++ b/ashpath/core/messages.py
@@ -87,9 +87,9 @@
     """One for all messages, so that the call has one outcome."""
     unresolved: int = 0
     """Messages without an outcome; at none the call is over."""
-    judged: bool = False
+    outcome_applied: bool = False
     """The gate has had the call's one outcome."""
-    upper_bound: int = 0
+    duration_bound: int = 0
     """Nearly all calls take no longer: past this it is overdue."""
     successes_mark: int = 0
     """The fast successes of its endpoint by the time that all calls then in flight are over."""
--- a/ashpath/core/policy_engine.py
+++ b/ashpath/core/policy_engine.py
@@ -34,7 +34,7 @@
         """Whether it still waits for a call, and how."""
 
     @abstractmethod
-    def check_time(self, message: Message) -> int:
+    def re_evaluation_time(self, message: Message) -> int:
         """When to re-evaluate a message that waits."""
 
     @abstractmethod
@@ -130,7 +130,7 @@
 
     def schedule_check(self, message: Message) -> None:
         """Re-evaluates a message when the policy says."""
-        self.actions.schedule_timer(self.check_time(message), message_timer(message.message_id))
+        self.actions.schedule_timer(self.re_evaluation_time(message), message_timer(message.message_id))
 
     def finish(self, message: Message) -> None:
         """Its books are closed."""
@@ -197,7 +197,7 @@
         recovered = EndpointRecovered.decode(message)
         destination = self.destinations.get(recovered.destination) if recovered else None
         if recovered and destination and recovered.endpoint_id in destination.known:
-            destination.known[recovered.endpoint_id].gate.return_reported()
+            destination.known[recovered.endpoint_id].gate.recovery_reported()
             self.needs_dispatch[destination] = None
 
     def retry_after_received(self, number: int, endpoint_id: str, until: int) -> None:
--- a/ashpath/core/rate_limit_state.py
+++ b/ashpath/core/rate_limit_state.py
@@ -15,7 +15,7 @@
 
     __slots__ = (
         "bucket",
-        "cut_at",
+        "decreased_at",
         "rate",
         "refused_at",
         "remaining_quota",
@@ -27,7 +27,7 @@
     def __init__(self, state: SenderState) -> None:
         self.state = state
         self.bucket = TokenBucket()
-        self.cut_at = state.now
+        self.decreased_at = state.now
         self.refused_at = LONG_AGO
         """The latest refusal where responses report no limit."""
         self.rate = 0.0
--- a/ashpath/core/statistics.py
+++ b/ashpath/core/statistics.py
@@ -54,7 +54,7 @@
         age = max(SECOND, self.updated_at - self.started_at)
         return self.total * SECOND / self.window_us / (1 - exp(-age / self.window_us))
 
-    def cautious_rate(self) -> float:
+    def uncorrected_rate(self) -> float:
         """The same without the correction for a short life: too low at first."""
         return self.total * SECOND / self.window_us
 
--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -17,21 +17,21 @@
 from ashpath.core.statistics import SECOND, EventRate, RunningStatistics
 from ashpath.core.timers import POLL_TIMER, RANKING_TIMER
 from ashpath.policy import retries, tuning
-from ashpath.policy.destination import Destination, cancel_overdue
-from ashpath.policy.judgement import is_table_full, was_overtaken
+from ashpath.policy.destination import Destination, cancel_overdue_attempt
+from ashpath.policy.judgement import is_connection_table_full, was_overtaken
 
 
 class DeliveryPolicy(PolicyEngine):
     """All decisions of one sender. Times are microseconds of one clock that only goes forward."""
 
-    check_time = retries.check_time  # of a message that waits
+    re_evaluation_time = retries.re_evaluation_time  # of a message that waits
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions) -> None:
         super().__init__(
             settings,
             actions,
             initial_rate=tuning.INITIAL_RATE,
-            durations=RunningStatistics(tuning.GAIN),
+            durations=RunningStatistics(tuning.SMOOTHING_GAIN),
             submissions=EventRate(tuning.RATE_WINDOW, started_at=0),
         )
         self.idle_endpoints: list[Endpoint] = []  # whose connections may be closed; emptied each batch
@@ -41,15 +41,17 @@
 
     def apply_settings(self, settings: PolicySettings) -> None:
         """Takes other settings; traffic classes keep their numbers, and messages their class as it was."""
-        other_reports = self.settings.has_load_reports != settings.has_load_reports
+        reports_changed = self.settings.has_load_reports != settings.has_load_reports
         self.settings = settings
-        self.limit_cap = max(1, settings.max_in_flight * tuning.CAP_PARTS // (tuning.CAP_PARTS + 1))
+        self.limit_cap = max(
+            1, settings.max_in_flight * tuning.MAX_IN_FLIGHT_TO_FREE // (tuning.MAX_IN_FLIGHT_TO_FREE + 1)
+        )
         classes = enumerate(settings.traffic_classes)
         self.traffic_classes = [TrafficClass(i, row, settings.value_halves) for i, row in classes]
         self.full_table_shares += [0.0] * (len(settings.destination_kinds) - len(self.full_table_shares))
         for destination in self.destinations.values():
             destination.queues.add_classes()
-            if other_reports:
+            if reports_changed:
                 for gate in (destination.gate, *(e.gate for e in destination.known.values())):
                     gate.rate_limit.reset()
 
@@ -61,7 +63,7 @@
         """Sends what may go after the batch's events."""
         for _ in range(len(self.needs_dispatch)):  # each at most once, and none once too many are in flight
             if len(self.attempts_in_flight) >= self.settings.max_in_flight:
-                cancel_overdue(self)
+                cancel_overdue_attempt(self)
                 break
             self.needs_dispatch.popitem(last=False)[0].dispatch()
         # Guards endpoints that take few connections against idle ones. Costs a new connection a call.
@@ -71,9 +73,9 @@
 
     def enforce_queue_capacity(self) -> None:
         """Guards the rest against queues that fill up: of those longest late, the least gives way."""
-        if len(self.messages) > tuning.FULL_QUEUE * self.settings.queue_capacity > 0:
-            longest_late = islice(self.late_messages, tuning.LATE_CONSIDERED)
-            self.finish_undelivered(min(longest_late, key=lambda late: late.value_at(self.now)))
+        if len(self.messages) > tuning.SHEDDING_QUEUE_SHARE * self.settings.queue_capacity > 0:
+            candidates = islice(self.late_messages, tuning.SHEDDING_CANDIDATES)
+            self.finish_undelivered(min(candidates, key=lambda late: late.value_at(self.now)))
 
     def still_valid(self, message_id: int, now: int) -> bool:
         """Whether an attempt may still go once its connection is up: listed, and no Retry-After meanwhile."""
@@ -83,9 +85,14 @@
         return now >= message.attempt.endpoint.gate.retry_after_until
 
     def attempt_finished(
-        self, message_id: int, outcome: AttemptOutcome, wait: int, closed: bool, report: LoadReport | None
+        self,
+        message_id: int,
+        outcome: AttemptOutcome,
+        retry_after: int,
+        final: bool,
+        report: LoadReport | None,
     ) -> None:
-        """An attempt's outcome; `wait`: its Retry-After; `closed`: the message needs nothing more."""
+        """An attempt's outcome; `retry_after`: its Retry-After; `final`: the message needs nothing more."""
         message = self.messages.get(message_id)
         if message is None or message.attempt is None:
             return
@@ -95,7 +102,7 @@
             outcome = AttemptOutcome.TIMED_OUT
         if report:
             attempt.endpoint.gate.rate_limit.update(report)
-        self._record_outcome(message, attempt, outcome, wait)
+        self._record_outcome(message, attempt, outcome, retry_after)
         if outcome is AttemptOutcome.LOCAL_FAULT:
             message.attempts -= 1  # nobody has seen it: its attempts are not used up
         if message.ordered_queue and outcome in tuning.MAY_STILL_RUN:
@@ -103,7 +110,7 @@
         if message.first_run is None and outcome not in NEVER_RAN:
             message.first_run = FirstRun(attempt.started_at, attempt.endpoint.zone)
         delivered = outcome is AttemptOutcome.DELIVERED
-        if closed or delivered or message.state is MessageState.ABANDONED:
+        if final or delivered or message.state is MessageState.ABANDONED:
             self.finish(message)
         elif retries.may_be_sent(self, message):
             transition(message, MessageState.QUEUED)
@@ -111,30 +118,34 @@
         else:
             self.finish_undelivered(message)
 
-    def _record_outcome(self, message: Message, attempt: Attempt, outcome: AttemptOutcome, wait: int) -> None:
+    def _record_outcome(
+        self, message: Message, attempt: Attempt, outcome: AttemptOutcome, retry_after: int
+    ) -> None:
         # A call has one outcome for its gate, however many messages travel in it.
         gate = attempt.endpoint.gate
         destination = message.destination
         duration = self.now - attempt.started_at
         attempt.unresolved -= 1
-        gate.retry_after_until = max(gate.retry_after_until, self.now + wait)
-        if not attempt.judged and (outcome is not AttemptOutcome.TIMED_OUT or not attempt.unresolved):
-            attempt.judged = True
-            gate.judge(attempt, outcome, duration)
+        gate.retry_after_until = max(gate.retry_after_until, self.now + retry_after)
+        if not attempt.outcome_applied and (
+            outcome is not AttemptOutcome.TIMED_OUT or not attempt.unresolved
+        ):
+            attempt.outcome_applied = True
+            gate.apply_outcome(attempt, outcome, duration)
         if not attempt.unresolved:
-            gate.attempt_over(attempt)
+            gate.attempt_ended(attempt)
             if outcome is AttemptOutcome.TIMED_OUT and not was_overtaken(attempt):
-                gate.reservations.append(self.now + tuning.RESERVATION)
-            table_full = is_table_full(self.settings, outcome, duration)
-            self._use_connections(attempt.endpoint, destination.kind, table_full=table_full)
+                gate.reservations.append(self.now + tuning.RESERVATION_TIME)
+            table_full = is_connection_table_full(self.settings, outcome, duration)
+            self._update_connection_use(attempt.endpoint, destination.kind, table_full=table_full)
         self.destination_changed(destination)
         if outcome is AttemptOutcome.DELIVERED:
             destination.queues.durations[message.traffic_class.index].add(duration)
             self.durations.add(duration)
 
-    def _use_connections(self, endpoint: Endpoint, kind: int, *, table_full: bool) -> None:
+    def _update_connection_use(self, endpoint: Endpoint, kind: int, *, table_full: bool) -> None:
         share = self.full_table_shares[kind]
-        share += tuning.GAIN / 2 * (table_full - share)
+        share += tuning.SMOOTHING_GAIN / 2 * (table_full - share)
         self.full_table_shares[kind] = share
         if 2 * endpoint.call_interval > self.settings.idle_timeout or share > tuning.MAX_FULL_TABLE_SHARE:
             self.idle_endpoints.append(endpoint)
@@ -157,7 +168,7 @@
         """Polls again at a random time, ever later."""
         self.failed_polls += 1
         pause = min(self.settings.poll_interval, SECOND << min(self.failed_polls, tuning.MAX_POLL_DOUBLINGS))
-        delay = int(pause * self.random.uniform(tuning.MIN_POLL_DELAY, 1))
+        delay = int(pause * self.random.uniform(tuning.MIN_POLL_DELAY_SHARE, 1))
         self.actions.schedule_timer(self.now + delay, POLL_TIMER)
 
     def poll(self) -> None:
--- a/ashpath/policy/destination.py
+++ b/ashpath/policy/destination.py
@@ -19,7 +19,7 @@
     gate: Gate
 
     def __init__(self, state: SenderState, number: int) -> None:
-        super().__init__(state, number, RankedQueues(state, tuning.GAIN))
+        super().__init__(state, number, RankedQueues(state, tuning.SMOOTHING_GAIN))
 
     def new_gate(self, route: str) -> Gate:
         """A gate for all of the destination, or for one route."""
@@ -47,13 +47,13 @@
         state = self.state
         while self.queues:
             # The cap is a part of what others leave: slow destinations leave room for the rest.
-            left = state.settings.max_in_flight - len(state.attempts_in_flight)
-            if gate.in_flight >= tuning.CAP_PARTS * left:
+            free = state.settings.max_in_flight - len(state.attempts_in_flight)
+            if gate.in_flight >= tuning.MAX_IN_FLIGHT_TO_FREE * free:
                 state.needs_dispatch[self] = None
-                cancel_overdue(state)
+                cancel_overdue_attempt(state)
                 return False
             opens_at = gate.opens_at(state.now)
-            picked = self._pick(gate) if opens_at is None else None
+            picked = self._pick_endpoint_and_message(gate) if opens_at is None else None
             if picked is None:
                 if opens_at:
                     self.schedule_check(opens_at)
@@ -61,32 +61,32 @@
             self._start_attempt(*picked)
         return True
 
-    def _next_message(self, endpoint: Endpoint) -> Message | None:
-        return self.queues.next_for(endpoint, self.delivery_rate())
+    def _next_message_for(self, endpoint: Endpoint) -> Message | None:
+        return self.queues.next_message(endpoint, self.delivery_rate())
 
-    def _pick(self, gate: GateState) -> tuple[Endpoint, Message] | None:
+    def _pick_endpoint_and_message(self, gate: GateState) -> tuple[Endpoint, Message] | None:
         # Fills the ranked endpoints from the top to their part of the limit, but where nobody may go.
-        usable = [e for e in self.endpoints if e.gate is gate]
-        most = -(-max(1, gate.limit) // max(1, len(usable)))
-        for endpoint in sorted(usable, key=lambda e: e.in_flight >= most):
-            message = self._next_message(endpoint)
+        candidates = [e for e in self.endpoints if e.gate is gate]
+        per_endpoint_limit = -(-max(1, gate.limit) // max(1, len(candidates)))
+        for endpoint in sorted(candidates, key=lambda e: e.in_flight >= per_endpoint_limit):
+            message = self._next_message_for(endpoint)
             if message:
                 return endpoint, message
         return None
 
-    def _start_attempt(self, endpoint: Endpoint, first: Message) -> None:
+    def _start_attempt(self, endpoint: Endpoint, first_message: Message) -> None:
         now = self.state.now
         attempt = Attempt(endpoint=endpoint, started_at=now)
-        message: Message | None = first
+        message: Message | None = first_message
         while message and len(attempt.messages) < self.max_batch_size:
             transition(message, MessageState.IN_FLIGHT)
             self.queues.remove(message)
             attempt.messages.append(message)
-            message = self._next_message(endpoint)
+            message = self._next_message_for(endpoint)
         classes = [m.traffic_class for m in attempt.messages]
-        attempt.upper_bound = max(map(self.queues.upper_bound, classes))
-        factor = max(tuning.TIMEOUT_FACTOR[c.settings.retry_safety] for c in classes)
-        attempt.timeout = factor * max(tuning.MIN_TIMEOUT, attempt.upper_bound)
+        attempt.duration_bound = max(map(self.queues.duration_bound, classes))
+        timeout_factor = max(tuning.TIMEOUT_FACTOR[c.settings.retry_safety] for c in classes)
+        attempt.timeout = timeout_factor * max(tuning.MIN_TIMEOUT, attempt.duration_bound)
         attempt.unresolved = len(attempt.messages)
         for message in attempt.messages:
             message.attempt = attempt
@@ -96,10 +96,10 @@
         endpoint.gate.attempt_started(attempt)
 
 
-def cancel_overdue(state: SenderState) -> None:
+def cancel_overdue_attempt(state: SenderState) -> None:
     """Guards what may be in flight against answers that never come: cancels the first overdue call."""
     for attempt in state.attempts_in_flight if state.settings.may_cancel else ():
-        if attempt.upper_bound < state.now - attempt.started_at and not attempt.cancelled:
+        if attempt.duration_bound < state.now - attempt.started_at and not attempt.cancelled:
             attempt.cancelled = True
             for message in (m for m in attempt.messages if m.attempt is attempt):
                 state.actions.cancel_attempt(message.message_id, message.attempts - 1)
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -22,7 +22,7 @@
 from ashpath.core.snapshots import BreakerState
 from ashpath.core.statistics import DecayingShare
 from ashpath.policy import tuning
-from ashpath.policy.judgement import is_unrelated_to_load
+from ashpath.policy.judgement import record_failure
 from ashpath.policy.outage import Outage
 from ashpath.policy.rate_pacing import RateLimit
 
@@ -35,7 +35,7 @@
 
     def __init__(self, state: SenderState, destination: int, route: str = "") -> None:
         outage = Outage(state, tuning.RATE_WINDOW)
-        errors = DecayingShare(tuning.GAIN, state.now)
+        errors = DecayingShare(tuning.SMOOTHING_GAIN, state.now)
         super().__init__(state, destination, route, RateLimit(state), outage, errors)
 
     def opens_at(self, now: int) -> int | None:
@@ -47,9 +47,9 @@
         if self.breaker is BreakerState.HALF_OPEN:
             return 0
         if self.breaker is BreakerState.OPEN:
-            due = max(self.open_until, self.reservations[-1] if self.reservations else 0)
-            if now < due:
-                return due
+            earliest = max(self.open_until, self.reservations[-1] if self.reservations else 0)
+            if now < earliest:
+                return earliest
         elif self.in_flight + len(self.reservations) >= min(self.limit, self.state.limit_cap):
             return self.reservations[0] if self.reservations else 0
         if self.outage.is_recovering(now):
@@ -69,7 +69,7 @@
             self.breaker = BreakerState.HALF_OPEN
             attempt.is_trial = True
 
-    def judge(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
+    def apply_outcome(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
         """The outcome table of ADR 0122, and its table of trial requests."""
         if outcome is AttemptOutcome.LOCAL_FAULT:
             self._pause_locally()
@@ -77,27 +77,27 @@
             self.local_faults = 0
         if outcome is AttemptOutcome.DELIVERED:
             self._delivered(attempt, duration)
-        elif outcome not in tuning.NO_LOAD_SIGN:
+        elif outcome not in tuning.NO_OVERLOAD_SIGNAL:
             self._failed(attempt, outcome, duration)
         elif attempt.is_trial:
             self.breaker = BreakerState.OPEN
 
     def _pause_locally(self) -> None:
         """This machine is to blame: no evidence against the destination, and no reason to hammer a table."""
-        pause = tuning.LOCAL_PAUSE << min(self.local_faults, tuning.MAX_LOCAL_DOUBLINGS)
+        pause = tuning.INITIAL_LOCAL_PAUSE << min(self.local_faults, tuning.MAX_LOCAL_PAUSE_DOUBLINGS)
         self.local_pause_until = self.state.now + int(pause * (0.5 + 0.5 * self.state.random.random()))
         self.local_faults += 1
         if self.local_faults == 1:
             self.log("local fault: calls pause")
 
     def _failed(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
-        attempt.endpoint.failed(gain=tuning.GAIN)
-        unrelated = is_unrelated_to_load(self, attempt, outcome, duration)
+        attempt.endpoint.failed(gain=tuning.SMOOTHING_GAIN)
+        unrelated_to_load = record_failure(self, attempt, outcome, duration)
         in_burst = attempt.started_at < self.decreased_at
         if attempt.is_trial:
             self.reopened += 1
             self._open(outcome)
-        elif self.breaker is BreakerState.CLOSED and not in_burst and not unrelated:
+        elif self.breaker is BreakerState.CLOSED and not in_burst and not unrelated_to_load:
             self.limit //= 2
             self.fast_successes = 0
             self.never_failed = False
@@ -108,18 +108,18 @@
     def _delivered(self, attempt: Attempt, duration: int) -> None:
         endpoint = attempt.endpoint
         fast = 2 * duration < attempt.timeout
-        endpoint.delivered(duration, fast=fast, gain=tuning.GAIN)
+        endpoint.delivered(duration, fast=fast, gain=tuning.SMOOTHING_GAIN)
         self.outage.succeeded()
         self.errors.reduce()
-        self.rate_limit.grow()
+        self.rate_limit.increase()
         if self.outage.down:
             self._recovered(endpoint.endpoint_id)
         if attempt.is_trial:
             self._close()
         elif fast and self.breaker is BreakerState.CLOSED:
             self.fast_successes += 1
-            grows = self.never_failed or self.fast_successes >= self.limit
-            if grows and self.limit < self.state.limit_cap:
+            may_grow = self.never_failed or self.fast_successes >= self.limit
+            if may_grow and self.limit < self.state.limit_cap:
                 self.limit += 1
                 self.fast_successes = 0
 
@@ -135,11 +135,13 @@
         self.breaker = BreakerState.OPEN
         self.limit = 0
         # A refused connection costs nothing where a full table is reported, and finds a return.
-        free = settings.reports_full_connection_table and outcome is AttemptOutcome.CONNECT_FAILED
-        pause = tuning.COOLDOWN << (self.reopened > 0 and not free)
+        free_of_cost = settings.reports_full_connection_table and outcome is AttemptOutcome.CONNECT_FAILED
+        cooldown = tuning.INITIAL_COOLDOWN << (self.reopened > 0 and not free_of_cost)
         # Senders take turns by number at a destination just back, all within one more pause.
-        self.open_until = self.state.now + pause + pause * settings.sender_index // settings.sender_count
-        self.log(f"breaker open {pause // 1000} ms: {outcome.value}, reopened {self.reopened}")
+        self.open_until = (
+            self.state.now + cooldown + cooldown * settings.sender_index // settings.sender_count
+        )
+        self.log(f"breaker open {cooldown // 1000} ms: {outcome.value}, reopened {self.reopened}")
 
     def _close(self) -> None:
         self.breaker = BreakerState.CLOSED
@@ -148,13 +150,13 @@
         self.reopened = 0
         self.log("breaker closed")
 
-    def rate_listed(self, rate: float) -> None:
+    def apply_listed_rate(self, rate: float) -> None:
         """The listed rate stands in where responses report none."""
         settings = self.state.settings
         if settings.has_listed_rates and not settings.has_load_reports:
             self.rate_limit.reported = rate or self.rate_limit.reported
 
-    def return_reported(self) -> None:
+    def recovery_reported(self) -> None:
         """Another sender delivered after an outage: else each finds it at a call and a pause."""
         if self.outage.down:  # at random again: buckets that filled meanwhile would overload it together
             self.outage.begin(self.state.now)
--- a/ashpath/policy/outage.py
+++ b/ashpath/policy/outage.py
@@ -25,30 +25,38 @@
         total = rate * tuning.RATE_WINDOW / SECOND
         self.completions = EventRate(tuning.RATE_WINDOW, LONG_AGO, self.state.now, total)
 
-    def is_failure_run(self, *, ambiguous: bool, least: float) -> bool:
+    def is_failure_run(self, *, ambiguous: bool, min_failures: float) -> bool:
         """Whether the failures in a row make an outage, for one who calls as often as this sender does."""
-        rate = self.completions.cautious_rate() if ambiguous else self.completions.rate()
-        enough = min(tuning.FAILURE_RUN, max(least, tuning.FAILURE_RUN * rate))
-        return self.failures >= enough and self.state.now - self.succeeded_at > tuning.OUTAGE_SILENCE
+        rate = self.completions.uncorrected_rate() if ambiguous else self.completions.rate()
+        required = min(tuning.OUTAGE_FAILURES, max(min_failures, tuning.OUTAGE_FAILURES * rate))
+        return self.failures >= required and self.state.now - self.succeeded_at > tuning.OUTAGE_DETECTION_TIME
 
     def allowance(self, now: int, even_split: float) -> float:
         """Calls a second for a destination that is just back, or about to be."""
         settings = self.state.settings
-        warm = 0.0 if self.down else min(1.0, (now - self.recovering_since) / max(1, settings.warm_up_time))
-        initial = settings.initial_capacity_share
-        capacity = max(tuning.GAIN / 2, initial + (1 - initial) * warm)  # 0 would find no return
-        expected = self._expected_rate(even_split)
-        return tuning.CAUTION * (settings.overload_multiple or SECOND) * capacity * expected  # 0: no bound
+        warm_up_progress = (
+            0.0 if self.down else min(1.0, (now - self.recovering_since) / max(1, settings.warm_up_time))
+        )
+        initial_share = settings.initial_capacity_share
+        capacity_share = max(
+            tuning.SMOOTHING_GAIN / 2, initial_share + (1 - initial_share) * warm_up_progress
+        )  # 0 would find no return
+        expected_rate = self._expected_rate(even_split)
+        return (
+            tuning.SAFETY_FACTOR * (settings.overload_multiple or SECOND) * capacity_share * expected_rate
+        )  # 0: no bound
 
     def _expected_rate(self, even_split: float) -> float:
         settings = self.state.settings
-        least = tuning.MIN_EXPECTED_RATE
+        min_rate = tuning.MIN_EXPECTED_RATE
         if not settings.has_load_reports:
-            mean = self.state.submissions.rate() / max(1, len(self.state.destinations))
-            least = min(least, max(tuning.MIN_INITIAL_RATE, mean))
+            mean_submissions = self.state.submissions.rate() / max(1, len(self.state.destinations))
+            min_rate = min(min_rate, max(tuning.MIN_INITIAL_RATE, mean_submissions))
         # What only stands in for a report says nothing here, unless it is listed.
-        reported = even_split * (settings.has_load_reports or tuning.LISTED_SHARE * settings.has_listed_rates)
+        reported = even_split * (
+            settings.has_load_reports or tuning.LISTED_RATE_SHARE * settings.has_listed_rates
+        )
         if reported and not settings.has_load_reports:
             return reported  # all guesses would sum up to too much
-        submitted = tuning.SUBMITTED_SHARE * self.submissions.rate()
-        return max(self.completions.rate(), submitted, least, reported)
+        submitted = tuning.NEW_SUBMISSION_SHARE * self.submissions.rate()
+        return max(self.completions.rate(), submitted, min_rate, reported)
--- a/ashpath/policy/retries.py
+++ b/ashpath/policy/retries.py
@@ -31,7 +31,7 @@
     return started_at + window - state.settings.connect_timeout
 
 
-def check_time(state: SenderState, message: Message) -> int:
+def re_evaluation_time(state: SenderState, message: Message) -> int:
     """When to re-evaluate: at its objective, its deadline or as its window ends, less what a call takes."""
     expected = message.destination.queues.expected_duration(message.traffic_class)
     at = message.objective_at
--- a/tests/bench_adapter/test_adapter.py
+++ b/tests/bench_adapter/test_adapter.py
@@ -34,7 +34,7 @@
     ]
 
 
-def piped(lines: list[bytes], seed: str = "0") -> tuple[int, list[dict[str, object]], str]:
+def run_adapter(lines: list[bytes], seed: str = "0") -> tuple[int, list[dict[str, object]], str]:
     command = [sys.executable, "-m", "ashpath.bench_adapter"]
     root = Path(__file__).parents[2]
     run = subprocess.run(
@@ -43,19 +43,19 @@
     return run.returncode, [json.loads(line) for line in run.stdout.splitlines()], run.stderr.decode()
 
 
-def test_piped_runs_agree() -> None:
-    code, replies, _ = piped(batches([1, 2]))
+def test_replies_do_not_depend_on_hash_seed_or_other_instances() -> None:
+    code, replies, _ = run_adapter(batches([1, 2]))
     assert code == 0
     assert len(replies) == 3
     assert "CallOut" in str(replies[0])
     assert "BailOut" not in str(replies)
-    assert piped(batches([1, 2]), "77")[1] == replies
-    apart = [piped(batches([n]))[1] for n in (1, 2)]
+    assert run_adapter(batches([1, 2]), "77")[1] == replies
+    apart = [run_adapter(batches([n]))[1] for n in (1, 2)]
     for reply, one, two in zip(replies, *apart, strict=True):
         assert reply["senders"] == [*one["senders"], *two["senders"]]
 
 
-BAD = {
+BAD_INPUT = {
     "not JSON": b"{nonsense\n",
     "no clock": b'{"senders":[]}\n',
     "never started": b'{"wall":1,"senders":[{"sender-id":3,"items":[{"Wake":{"ref":"x"}}]}]}\n',
@@ -63,32 +63,32 @@
 }
 
 
-def started(item: Mapping[str, object]) -> bytes:
+def second_batch(item: Mapping[str, object]) -> bytes:
     """A batch that starts an instance, and one event in the next."""
     event = {"wall": 2, "senders": [{"sender-id": 1, "items": [item]}]}
     return batches([1])[0] + json.dumps(event).encode() + b"\n"
 
 
-BAD |= {
-    "malformed event: KeyError 'ttl'": started({"JobIn": {"rid": 1}}),
-    "malformed event: KeyError 'Nope'": started({"Returned": {"rid": 1, "outcome": "Nope"}}),
-    "malformed event: ValueError": started({"Memo": {"contents": "zz"}}),
-    "malformed batch: KeyError 'endpoint'": started({"Register": {"sheet": 1, "rows-in": [{}]}}),
+BAD_INPUT |= {
+    "malformed event: KeyError 'ttl'": second_batch({"JobIn": {"rid": 1}}),
+    "malformed event: KeyError 'Nope'": second_batch({"Returned": {"rid": 1, "outcome": "Nope"}}),
+    "malformed event: ValueError": second_batch({"Memo": {"contents": "zz"}}),
+    "malformed batch: KeyError 'endpoint'": second_batch({"Register": {"sheet": 1, "rows-in": [{}]}}),
 }
 
 
-@pytest.mark.parametrize("words", BAD)
-def test_bad_input_is_named(words: str) -> None:
-    code, _, errors = piped([BAD[words]])
+@pytest.mark.parametrize("error_text", BAD_INPUT)
+def test_bad_input_is_named_in_one_line(error_text: str) -> None:
+    code, _, errors = run_adapter([BAD_INPUT[error_text]])
     assert code != 0
-    assert words in errors
+    assert error_text in errors
     assert len(errors.splitlines()) == 1
 
 
-def test_a_fault_of_the_policy_is_an_action() -> None:
+def test_policy_exception_stops_only_its_own_instance() -> None:
     """Guards the other instances: the one whose policy raised does nothing any more."""
     job = {"rid": 1, "addressee-no": 0, "priority": 9, "key": None, "ttl": 5}
-    code, replies, _ = piped([started({"JobIn": job}), *batches([2])[:1]])
+    code, replies, _ = run_adapter([second_batch({"JobIn": job}), *batches([2])[:1]])
     assert code == 0
     assert "BailOut" in str(replies[1])
     assert "CallOut" in str(replies[2])
--- a/tests/core/test_statistics.py
+++ b/tests/core/test_statistics.py
@@ -28,7 +28,7 @@
     for tenth in range(1, 10 * seconds + 1):
         rate.add(tenth * SECOND // 10)
     assert rate.rate() == pytest.approx(10, rel=0.02)
-    assert rate.cautious_rate() <= rate.rate()
+    assert rate.uncorrected_rate() <= rate.rate()
 
 
 def test_a_skipped_pause_leaves_the_rate() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -17,51 +17,51 @@
 @pytest.mark.parametrize("capacity", [3.0, 12.0])
 @pytest.mark.parametrize("senders", [1, 3, 8, 20, 30])
 @pytest.mark.parametrize("customer", CUSTOMERS)
-def test_the_sum_of_all_senders_overloads_nothing(
+def test_calls_of_all_senders_stay_within_recovering_capacity(
     customer: str, senders: int, capacity: float, restarts: str
 ) -> None:
     """Guards the fleet: each sender alone is careful, and the sum is what counts. A restart within the outage
     forgot it: 30 senders then sent five times what the destination could do."""
     for uneven in (False, True):
         fleet = Fleet(CUSTOMERS[customer], senders, capacity, uneven=uneven, restarts=RESTARTS[restarts])
-        calls, most = fleet.play().worst()
-        assert calls <= most, uneven
+        calls, allowed_calls = fleet.play().worst()
+        assert calls <= allowed_calls, uneven
         assert fleet.calls, uneven
 
 
 @pytest.mark.parametrize("customer", CUSTOMERS)
 @pytest.mark.parametrize("senders", [3, 30])
-def test_silence_as_an_outage(customer: str, senders: int) -> None:
+def test_unanswered_calls_of_all_senders_stay_within_recovering_capacity(customer: str, senders: int) -> None:
     """The same where nobody refuses: calls go out and nothing comes."""
     for restarts in ((), (40 * SECOND,), (45 * SECOND,)):
         fleet = Fleet(CUSTOMERS[customer], senders, 6.0, silent=True, restarts=restarts).play()
-        calls, most = fleet.worst()
-        assert calls <= most, restarts
+        calls, allowed_calls = fleet.worst()
+        assert calls <= allowed_calls, restarts
         assert fleet.calls, restarts
 
 
-def test_the_measure_can_fail() -> None:
+def test_unbounded_fleet_exceeds_recovering_capacity() -> None:
     """With nothing to bound its calls the same fleet overloads it."""
     settings = replace(CUSTOMERS["load reports"], warm_up_time=10 * SECOND, overload_multiple=100.0)
     fleet = Fleet(settings, 20, 6.0)
     fleet.play()
     fleet.settings = replace(settings, overload_multiple=2.0)
-    calls, most = fleet.worst()
-    assert calls > most
+    calls, allowed_calls = fleet.worst()
+    assert calls > allowed_calls
 
 
-def play(text: str) -> Scenario:
-    played = Scenario(DeliveryPolicy)
+def run_scenario(text: str) -> Scenario:
+    scenario = Scenario(DeliveryPolicy)
     for line in text.splitlines():
         if words := line.split():
-            played.step(words)
-    return played
+            scenario.step(words)
+    return scenario
 
 
-def test_what_a_restart_finds_untried_is_tried() -> None:
+def test_untried_messages_stay_queued_after_restart() -> None:
     """Guards what was accepted over a restart: where a destination is down, or its rate not known yet, the
     time to a first call was longer than what was left, and all was rejected at once with no call."""
-    played = play("""
+    scenario = run_scenario("""
         settings sender_count=40 has_load_reports=0
         class s idempotent objective=1s deadline=9s
         2s submit a b c s 7
@@ -72,14 +72,14 @@
         +2s pass
         expect queued b c
     """)
-    opens_at = played.gate(7).opens_at(played.now)
+    opens_at = scenario.gate(7).opens_at(scenario.now)
     assert opens_at
-    assert opens_at - played.now > 9 * SECOND  # longer than they have
+    assert opens_at - scenario.now > 9 * SECOND  # longer than they have
 
 
-def test_a_retry_after_beyond_its_deadline_ends_a_message_at_once() -> None:
+def test_retry_after_past_deadline_rejects_restored_message() -> None:
     """What a restart found is not kept for a destination that said when, and too late."""
-    play("""
+    run_scenario("""
         class s idempotent objective=1s deadline=6s
         0s submit a b s 7
         +0s restart
@@ -91,10 +91,10 @@
     """)
 
 
-def test_an_endpoint_with_a_call_in_flight_is_not_forgotten() -> None:
+def test_unlisted_endpoint_with_call_in_flight_keeps_its_gate() -> None:
     """Guards Retry-Afters where endpoints are routes: unlisted for long and listed again, its gate is the one
     that learns the outcome of the call that is still in flight."""
-    played = play("""
+    scenario = run_scenario("""
         class s idempotent objective=20s deadline=60s
         kind per_endpoint
         endpoints x1 : 7
@@ -102,12 +102,12 @@
         expect attempt a
         +10ms remove x1
     """)
-    known = played.policy.destinations[7].known
+    known = scenario.policy.destinations[7].known
     gate = known["x1"].gate
-    played.messages[played.ids["a"]].due_at = 60 * SECOND  # its time-out is long
-    played.run_to(15 * SECOND)
-    played.step(["+0s", "list", "x1"])
+    scenario.messages[scenario.ids["a"]].due_at = 60 * SECOND  # its time-out is long
+    scenario.run_to(15 * SECOND)
+    scenario.step(["+0s", "list", "x1"])
     assert known["x1"].gate is gate
-    played.step(["+0s", "overloaded", "a", "retry_after=3s"])
-    played.step(["+10ms", "submit", "b", "s", "7"])
-    played.expect("queued b")
+    scenario.step(["+0s", "overloaded", "a", "retry_after=3s"])
+    scenario.step(["+10ms", "submit", "b", "s", "7"])
+    scenario.expect("queued b")
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -11,7 +11,7 @@
 
 import pytest
 from msgspec.structs import replace
-from support import scenario
+from support import scenario as scenario_language
 from support.scenario import Scenario
 
 import ashpath.core
@@ -23,45 +23,45 @@
 
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
-def test_scenario(path: Path) -> None:
+def test_scenario_file_keeps_the_six_rules(path: Path) -> None:
     Scenario(DeliveryPolicy).play(path.read_text())
 
 
-def test_examples() -> None:
+def test_doctest_examples_of_core_modules_pass() -> None:
     names = [module.name for module in pkgutil.iter_modules(ashpath.core.__path__, "ashpath.core.")]
-    modules = [scenario, tap, *map(importlib.import_module, names)]
+    modules = [scenario_language, tap, *map(importlib.import_module, names)]
     assert "ashpath.core.platform_settings" in names
     assert all(doctest.testmod(module).failed == 0 for module in modules)
 
 
-def test_a_retry_after_of_an_endpoint_not_known_here_binds_all_routes() -> None:
+def test_retry_after_of_unknown_endpoint_pauses_all_routes() -> None:
     """Guards routes in a hot upgrade: an id too long for the shared memory is published without it."""
-    played = Scenario(DeliveryPolicy)
+    scenario = Scenario(DeliveryPolicy)
     for line in ("kind per_endpoint", "endpoints x1 x2 : 7", "0s pass"):
-        played.step(line.split())
-    played.run_batch(lambda policy: policy.retry_after_received(7, "", 500_000))
-    played.step(["1ms", "submit", "a", "s", "7"])
-    played.expect("queued a")
-    played.run_to(600_000)
-    played.expect("attempt a")
+        scenario.step(line.split())
+    scenario.run_batch(lambda policy: policy.retry_after_received(7, "", 500_000))
+    scenario.step(["1ms", "submit", "a", "s", "7"])
+    scenario.expect("queued a")
+    scenario.run_to(600_000)
+    scenario.expect("attempt a")
 
 
-def test_word_of_a_return_starts_the_recovery_at_random() -> None:
+def test_recovery_gossip_restarts_recovery_bucket_at_random() -> None:
     """Guards a returning destination against all that learn of it at once, with buckets filled meanwhile."""
-    played = Scenario(DeliveryPolicy)
+    scenario = Scenario(DeliveryPolicy)
     head = "settings gossip_enabled=1 sender_count=40"
     for line in (head, "2s submit a s 7", "+10ms connect_failed a"):
-        played.step(line.split())
-    outage = played.gate(7).outage
+        scenario.step(line.split())
+    outage = scenario.gate(7).outage
     assert outage.down
     outage.recovery_bucket.tokens = 1.0
-    played.run_batch(lambda policy: policy.receive_gossip(b"back 7 x1"))
+    scenario.run_batch(lambda policy: policy.receive_gossip(b"back 7 x1"))
     assert not outage.down
     assert outage.recovery_bucket.tokens < 1.0
-    played.expect("queued a")
+    scenario.expect("queued a")
 
 
-class Reckless:
+class RuleBreakingPolicy:
     """Sends at once and again after each outcome, or never."""
 
     def __init__(self, actions: PolicyActions, *, sends: bool) -> None:
@@ -79,13 +79,13 @@
         self.submit(message_id)
 
 
-HEAD = """settings sender_count=1
+SETTINGS_LINES = """settings sender_count=1
 class t at_most_once
 class k deduplicated window=1s ordered
 kind
 endpoints x1 : 7
 """
-BROKEN = {
+RULE_VIOLATIONS = {
     "got no answer in time": (False, "0s submit a t 7"),
     "may run twice": (True, "0s submit a t 7\n+1s error a"),
     "within a Retry-After": (True, "0s submit a t 7\n+1s overloaded a retry_after=400ms\n+1ms submit b t 7"),
@@ -96,25 +96,25 @@
 }
 
 
-@pytest.mark.parametrize("rule", BROKEN)
-def test_the_checker_can_fail(rule: str) -> None:
-    sends, text = BROKEN[rule]
+@pytest.mark.parametrize("rule", RULE_VIOLATIONS)
+def test_checker_rejects_each_rule_violation(rule: str) -> None:
+    sends, text = RULE_VIOLATIONS[rule]
 
     def make(_: PolicySettings, actions: PolicyActions) -> DeliveryPolicy:
-        return cast(DeliveryPolicy, Reckless(actions, sends=sends))
+        return cast(DeliveryPolicy, RuleBreakingPolicy(actions, sends=sends))
 
     with pytest.raises(AssertionError, match=rule):
-        Scenario(make).play(HEAD + text)
+        Scenario(make).play(SETTINGS_LINES + text)
 
 
-def test_replaced_endpoints_are_forgotten() -> None:
+def test_replaced_endpoints_are_forgotten_after_a_while() -> None:
     """Successors under new ids all day: only those listed, and those removed of late, are known."""
-    played = Scenario(DeliveryPolicy)
+    scenario = Scenario(DeliveryPolicy)
     for line in ("endpoints x0 : 7", "0s submit a s 7", "+1s delivered a"):
-        played.step(line.split())
+        scenario.step(line.split())
     for number in range(1, 40):
-        played.endpoints[f"x{number}"] = replace(played.endpoints["x0"], endpoint_id=f"x{number}")
+        scenario.endpoints[f"x{number}"] = replace(scenario.endpoints["x0"], endpoint_id=f"x{number}")
         for line in (f"+1s list x{number}", f"+0s remove x{number - 1}", f"+0s submit b{number} s 7"):
-            played.step(line.split())
-        played.step(f"+1s delivered b{number}".split())
-    assert len(played.policy.destinations[7].known) < 15
+            scenario.step(line.split())
+        scenario.step(f"+1s delivered b{number}".split())
+    assert len(scenario.policy.destinations[7].known) < 15
