--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -136,16 +136,16 @@
             gate.attempt_ended(attempt)
             if outcome is AttemptOutcome.TIMED_OUT and not was_overtaken(attempt):
                 gate.reservations.append(self.now + tuning.RESERVATION_TIME)
-            table_full = is_connection_table_full(self.settings, outcome, duration)
-            self._update_connection_use(attempt.endpoint, destination.kind, table_full=table_full)
+            found_full_table = is_connection_table_full(self.settings, outcome, duration)
+            self._update_connection_use(attempt.endpoint, destination.kind, found_full_table=found_full_table)
         self.destination_changed(destination)
         if outcome is AttemptOutcome.DELIVERED:
             destination.queues.durations[message.traffic_class.index].add(duration)
             self.durations.add(duration)
 
-    def _update_connection_use(self, endpoint: Endpoint, kind: int, *, table_full: bool) -> None:
+    def _update_connection_use(self, endpoint: Endpoint, kind: int, *, found_full_table: bool) -> None:
         share = self.full_table_shares[kind]
-        share += tuning.SMOOTHING_GAIN / 2 * (table_full - share)
+        share += tuning.SMOOTHING_GAIN / 2 * (found_full_table - share)
         self.full_table_shares[kind] = share
         if 2 * endpoint.call_interval > self.settings.idle_timeout or share > tuning.MAX_FULL_TABLE_SHARE:
             self.idle_endpoints.append(endpoint)
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -41,9 +41,9 @@
     def opens_at(self, now: int) -> int | None:
         """None if a call may go now, else the time to check again (0: an outcome will tell)."""
         self.drop_reservations(now)
-        waits_until = max(self.retry_after_until, self.local_pause_until)
-        if now < waits_until:
-            return waits_until
+        paused_until = max(self.retry_after_until, self.local_pause_until)
+        if now < paused_until:
+            return paused_until
         if self.breaker is BreakerState.HALF_OPEN:
             return 0
         if self.breaker is BreakerState.OPEN:
--- a/ashpath/policy/judgement.py
+++ b/ashpath/policy/judgement.py
@@ -31,8 +31,8 @@
     if outcome is AttemptOutcome.OVERLOADED and not settings.has_load_reports:
         gate.rate_limit.refused_without_report(outage.completions.rate())
     rate_limited = outcome is AttemptOutcome.OVERLOADED and gate.rate_limit.reported > 0
-    table_full = is_connection_table_full(settings, outcome, duration)
-    ambiguous = table_full or outcome in (AttemptOutcome.OVERLOADED, AttemptOutcome.TIMED_OUT)
+    found_full_table = is_connection_table_full(settings, outcome, duration)
+    ambiguous = found_full_table or outcome in (AttemptOutcome.OVERLOADED, AttemptOutcome.TIMED_OUT)
     ample_quota = gate.rate_limit.remaining_quota >= tuning.AMPLE_QUOTA or not settings.has_load_reports
     if rate_limited:
         outage.failures += tuning.RATE_LIMITED_FAILURE_WEIGHT * ample_quota
@@ -42,11 +42,11 @@
         ambiguous=ambiguous, min_failures=_min_failure_run(gate, outcome) if ambiguous else 1.0
     )
     # So long a wait with ample quota is no limit's: an outage is announced, and all are told the same end.
-    announced = ample_quota and gate.retry_after_until - gate.state.now > tuning.OUTAGE_DETECTION_TIME
-    if announced or (failure_run and not outage.down):
+    outage_announced = ample_quota and gate.retry_after_until - gate.state.now > tuning.OUTAGE_DETECTION_TIME
+    if outage_announced or (failure_run and not outage.down):
         outage.begin(max(gate.state.now, gate.retry_after_until))
         gate.log(f"ailing: {outage.failures:.1f} failures, last {outcome.value}")
-    if rate_limited and not failure_run and not announced:  # the rate explains it
+    if rate_limited and not failure_run and not outage_announced:  # the rate explains it
         gate.rate_limit.decrease(attempt.started_at, outage.succeeded_at)
         return True
     if outcome in (AttemptOutcome.ERROR, AttemptOutcome.CONNECTION_RESET):
@@ -59,5 +59,5 @@
 def _min_failure_run(gate: Gate, outcome: AttemptOutcome) -> float:
     # Who calls seldom sees a second failure too late: of many such, each one's retry is a push.
     tables_full = max(gate.state.full_table_shares) > tuning.MAX_FULL_TABLE_SHARE
-    unambiguous = tables_full and outcome is not AttemptOutcome.CONNECT_FAILED
-    return 1.0 if unambiguous else tuning.AMBIGUOUS_FAILURE_WEIGHT
+    explained_by_full_tables = tables_full and outcome is not AttemptOutcome.CONNECT_FAILED
+    return 1.0 if explained_by_full_tables else tuning.AMBIGUOUS_FAILURE_WEIGHT
