--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -1,4 +1,4 @@
-"""The policy's entry point: events in, `PolicyActions` out; `PolicyEngine` keeps the books."""
+"""The policy's entry point: takes events and calls `PolicyActions`; `PolicyEngine` does the bookkeeping."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 class DeliveryPolicy(PolicyEngine):
-    """All decisions of one sender. Times are microseconds of one clock that only goes forward."""
+    """All decisions of one sender. Times are microseconds of a monotonic clock."""
 
-    re_evaluation_time = retries.re_evaluation_time  # of a message that waits
+    re_evaluation_time = retries.re_evaluation_time
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions) -> None:
         super().__init__(
@@ -34,13 +34,13 @@
             durations=RunningStatistics(tuning.SMOOTHING_GAIN),
             submissions=EventRate(tuning.RATE_WINDOW, started_at=0),
         )
-        self.idle_endpoints: list[Endpoint] = []  # whose connections may be closed; emptied each batch
-        self.polling = False  # the endpoint list is not pushed
+        self.idle_endpoints: list[Endpoint] = []  # their idle connections are closed at the end of the batch
+        self.polling = False  # True: the endpoint list is polled, not pushed
         actions.schedule_timer(0, RANKING_TIMER)
         self.apply_settings(settings)
 
     def apply_settings(self, settings: PolicySettings) -> None:
-        """Takes other settings; traffic classes keep their numbers, and messages their class as it was."""
+        """Applies new settings; traffic classes keep their numbers, and messages their class settings."""
         reports_changed = self.settings.has_load_reports != settings.has_load_reports
         self.settings = settings
         self.limit_cap = max(
@@ -56,29 +56,36 @@
                     gate.rate_limit.reset()
 
     def new_destination(self, number: int) -> Destination:
-        """A destination that was not known before."""
+        """Returns the state of a destination that was not known before."""
         return Destination(self, number)
 
     def end_batch(self) -> None:
-        """Sends what may go after the batch's events."""
-        for _ in range(len(self.needs_dispatch)):  # each at most once, and none once too many are in flight
+        """Dispatches messages after the events of a batch, and closes idle connections."""
+        # Each destination is dispatched at most once, and none once max_in_flight calls are in flight.
+        for _ in range(len(self.needs_dispatch)):
             if len(self.attempts_in_flight) >= self.settings.max_in_flight:
                 cancel_overdue_attempt(self)
                 break
             self.needs_dispatch.popitem(last=False)[0].dispatch()
-        # Guards endpoints that take few connections against idle ones. Costs a new connection a call.
+        # Idle connections would occupy endpoints that accept few; each further call there needs a new one.
         for endpoint in (e for e in self.idle_endpoints if not e.in_flight):
             self.actions.close_idle_connections(endpoint.endpoint_id)
         self.idle_endpoints.clear()
 
     def enforce_queue_capacity(self) -> None:
-        """Guards the rest against queues that fill up: of those longest late, the least gives way."""
+        """Drops the least valuable of the longest late messages if the queues are nearly full.
+
+        Otherwise new messages would be rejected for want of queue capacity.
+        """
         if len(self.messages) > tuning.SHEDDING_QUEUE_SHARE * self.settings.queue_capacity > 0:
             candidates = islice(self.late_messages, tuning.SHEDDING_CANDIDATES)
             self.finish_undelivered(min(candidates, key=lambda late: late.value_at(self.now)))
 
     def still_valid(self, message_id: int, now: int) -> bool:
-        """Whether an attempt may still go once its connection is up: listed, and no Retry-After meanwhile."""
+        """Returns whether an attempt may still be sent once its connection is established.
+
+        The endpoint must still be listed, and no Retry-After of its destination or route may be in force.
+        """
         message = self.messages[message_id]
         if message.attempt is None or message.attempt.endpoint not in message.destination.endpoints:
             return False
@@ -92,7 +99,10 @@
         final: bool,
         report: LoadReport | None,
     ) -> None:
-        """An attempt's outcome; `retry_after`: its Retry-After; `final`: the message needs nothing more."""
+        """Records an attempt's outcome, then finishes the message or queues it again.
+
+        `retry_after` is the response's Retry-After in microseconds. If `final`, no outcome leads to a retry.
+        """
         message = self.messages.get(message_id)
         if message is None or message.attempt is None:
             return
@@ -104,7 +114,7 @@
             attempt.endpoint.gate.rate_limit.update(report)
         self._record_outcome(message, attempt, outcome, retry_after)
         if outcome is AttemptOutcome.LOCAL_FAULT:
-            message.attempts -= 1  # nobody has seen it: its attempts are not used up
+            message.attempts -= 1  # the attempt never left this machine and does not count
         if message.ordered_queue and outcome in tuning.MAY_STILL_RUN:
             message.ordered_queue.settles_at = self.now + self.settings.settle_time
         if message.first_run is None and outcome not in NEVER_RAN:
@@ -121,7 +131,7 @@
     def _record_outcome(
         self, message: Message, attempt: Attempt, outcome: AttemptOutcome, retry_after: int
     ) -> None:
-        # A call has one outcome for its gate, however many messages travel in it.
+        # The gate gets one outcome per call, however many messages the call carries.
         gate = attempt.endpoint.gate
         destination = message.destination
         duration = self.now - attempt.started_at
@@ -151,12 +161,12 @@
             self.idle_endpoints.append(endpoint)
 
     def finish_undelivered(self, message: Message) -> None:
-        """The final answer, at once."""
+        """Finishes a message without a delivery, and answers its client at once."""
         self.finish(message)
         retries.answer_undelivered(self, message)
 
     def re_evaluate(self, message: Message) -> None:
-        """Answers a message for which it is too late, or queues it by what it can still make."""
+        """Answers a message that can no longer be delivered; queues any other anew, as in time or late."""
         if not retries.may_be_sent(self, message):
             self.finish_undelivered(message)
         elif message.queue is None:
@@ -165,19 +175,22 @@
             self.enqueue(message)
 
     def endpoint_poll_failed(self) -> None:
-        """Polls again at a random time, ever later."""
+        """Schedules the next poll at a random time, with a pause that doubles with each failure in a row."""
         self.failed_polls += 1
         pause = min(self.settings.poll_interval, SECOND << min(self.failed_polls, tuning.MAX_POLL_DOUBLINGS))
         delay = int(pause * self.random.uniform(tuning.MIN_POLL_DELAY_SHARE, 1))
         self.actions.schedule_timer(self.now + delay, POLL_TIMER)
 
     def poll(self) -> None:
-        """Polls the endpoint list, if it is not pushed."""
+        """Polls the endpoint list unless it is pushed."""
         if self.polling:
             self.actions.poll_endpoints()
 
     def rank(self) -> None:
-        """Ranks endpoints where there were events; drops destinations that nothing is known of any more."""
+        """Ranks the endpoints of destinations that had events.
+
+        Drops destinations without known endpoints and unfinished messages.
+        """
         changed = self.needs_ranking
         self.needs_ranking = {}
         for destination in changed:
@@ -189,7 +202,8 @@
             else:
                 self.needs_ranking[destination] = None
         settings = self.settings
-        if settings.poll_interval and not self.polling:  # by number, as all may have started at once
+        if settings.poll_interval and not self.polling:
+            # Staggers the first polls by sender number, as all senders may have started at once.
             delay = settings.poll_interval * settings.sender_index // (2 * settings.sender_count)
             self.actions.schedule_timer(self.now + delay, POLL_TIMER)
         self.polling = settings.poll_interval > 0
--- a/ashpath/policy/destination.py
+++ b/ashpath/policy/destination.py
@@ -1,4 +1,4 @@
-"""One destination: the order of its endpoints, and dispatch to them."""
+"""The ranking of a destination's endpoints, and the dispatch of messages to them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Destination(DestinationState):
-    """Sends the messages of one destination as its gates allow."""
+    """Starts the attempts of one destination as its gates allow."""
 
     queues: RankedQueues
     gate: Gate
@@ -22,17 +22,20 @@
         super().__init__(state, number, RankedQueues(state, tuning.SMOOTHING_GAIN))
 
     def new_gate(self, route: str) -> Gate:
-        """A gate for all of the destination, or for one route."""
+        """Returns a gate for one route, or for the whole destination if `route` is empty."""
         return Gate(self.state, self.number, route)
 
     def rank(self) -> None:
-        """Well first, then cheap if routes, then quick; between equals at random, or all begin at one."""
+        """Sorts the endpoints by failure share, zone cost where endpoints are routes, and mean duration.
+
+        Equal endpoints are in random order, as all senders would start with the same one otherwise.
+        """
         costs = self.state.settings.zone_costs if self.limit_per_endpoint else ()
         cost = {e: costs[e.zone] if e.zone < len(costs) else 0.0 for e in self.endpoints}
         self.endpoints.sort(key=lambda e: (round(e.failure_share, 1), cost[e], e.mean_duration, e.tie_break))
 
     def dispatch(self) -> None:
-        """Starts attempts, as long as gates are open and messages wait."""
+        """Starts attempts while gates are open and messages are queued."""
         if self.max_batch_size > 1:
             deadline = self.queues.batching_deadline(self.max_batch_size)
             if deadline:
@@ -43,10 +46,10 @@
                 return
 
     def _dispatch_through(self, gate: GateState) -> bool:
-        # False if nothing more may be in flight here.
+        # Returns False if the destination may have no more calls in flight.
         state = self.state
         while self.queues:
-            # The cap is a part of what others leave: slow destinations leave room for the rest.
+            # The cap is a multiple of the places left free, so that slow destinations leave room for others.
             free = state.settings.max_in_flight - len(state.attempts_in_flight)
             if gate.in_flight >= tuning.MAX_IN_FLIGHT_TO_FREE * free:
                 state.needs_dispatch[self] = None
@@ -65,7 +68,8 @@
         return self.queues.next_message(endpoint, self.delivery_rate())
 
     def _pick_endpoint_and_message(self, gate: GateState) -> tuple[Endpoint, Message] | None:
-        # Fills the ranked endpoints from the top to their part of the limit, but where nobody may go.
+        # Prefers the best ranked endpoints below their even part of the limit, and skips those that no queued
+        # message may go to.
         candidates = [e for e in self.endpoints if e.gate is gate]
         per_endpoint_limit = -(-max(1, gate.limit) // max(1, len(candidates)))
         for endpoint in sorted(candidates, key=lambda e: e.in_flight >= per_endpoint_limit):
@@ -97,7 +101,10 @@
 
 
 def cancel_overdue_attempt(state: SenderState) -> None:
-    """Guards what may be in flight against answers that never come: cancels the first overdue call."""
+    """Cancels the oldest overdue call, if the settings allow it.
+
+    Otherwise calls without a response would use up the calls that may be in flight.
+    """
     for attempt in state.attempts_in_flight if state.settings.may_cancel else ():
         if attempt.duration_bound < state.now - attempt.started_at and not attempt.cancelled:
             attempt.cancelled = True
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -2,14 +2,14 @@
 
 | breaker | event | next | effect |
 | --- | --- | --- | --- |
-| CLOSED | fast success | CLOSED | limit grows: by one until the first failure, then per as many as it is |
-| CLOSED | sign of load | CLOSED | limit halves, once per burst, rounded down |
-| CLOSED | sign of load, limit at zero | OPEN | first cooldown |
-| OPEN | cooldown and reservations over, a call | HALF_OPEN | that call is the trial request |
-| HALF_OPEN | trial delivered | CLOSED | limit is one |
+| CLOSED | fast success | CLOSED | limit grows by one; after a first decrease, by one per `limit` successes |
+| CLOSED | sign of load | CLOSED | limit is halved, rounded down, once per burst |
+| CLOSED | sign of load, limit falls to zero | OPEN | first cooldown |
+| OPEN | call after cooldown and reservations | HALF_OPEN | the call is the trial request |
+| HALF_OPEN | trial request delivered | CLOSED | limit is one |
 | HALF_OPEN | sign of load | OPEN | longer cooldown |
-| HALF_OPEN | neither | OPEN | no cooldown: the next waiter is the trial |
-| OPEN | word of a return, while down | CLOSED | limit is one |
+| HALF_OPEN | any other outcome | OPEN | no cooldown: the next call is the trial request |
+| OPEN | another sender reports the recovery from an outage | CLOSED | limit is one |
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Gate(GateState):
-    """Decides when a call may go, and learns from each call's one outcome."""
+    """Decides when a call may start, and adapts to the outcome of each call."""
 
     rate_limit: RateLimit
     outage: Outage
@@ -39,7 +39,7 @@
         super().__init__(state, destination, route, RateLimit(state), outage, errors)
 
     def opens_at(self, now: int) -> int | None:
-        """None if a call may go now, else the time to check again (0: an outcome will tell)."""
+        """Returns None if a call may start now, else the time of the next check; 0: at the next outcome."""
         self.drop_reservations(now)
         paused_until = max(self.retry_after_until, self.local_pause_until)
         if now < paused_until:
@@ -59,18 +59,18 @@
         return self.rate_limit.available_at(now)
 
     def allowance(self, now: int) -> float:
-        """Calls a second if it is down or recovering."""
+        """Returns the calls per second that a destination may get while it is down or recovering."""
         return self.outage.allowance(now, self.rate_limit.even_split())
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """Takes the call's place; the first one past an open breaker is its trial request."""
+        """Counts the call as in flight; the first call after an open breaker is its trial request."""
         super().attempt_started(attempt)
         if self.breaker is BreakerState.OPEN:
             self.breaker = BreakerState.HALF_OPEN
             attempt.is_trial = True
 
     def apply_outcome(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
-        """The outcome table of ADR 0122, and its table of trial requests."""
+        """Applies the outcome table of ADR 0122, and its table of trial requests."""
         if outcome is AttemptOutcome.LOCAL_FAULT:
             self._pause_locally()
         else:
@@ -83,7 +83,10 @@
             self.breaker = BreakerState.OPEN
 
     def _pause_locally(self) -> None:
-        """This machine is to blame: no evidence against the destination, and no reason to hammer a table."""
+        """Pauses calls after a fault of this machine, at random and longer after each further fault in a row.
+
+        The fault is no evidence against the destination; further calls would fail at the same full table.
+        """
         pause = tuning.INITIAL_LOCAL_PAUSE << min(self.local_faults, tuning.MAX_LOCAL_PAUSE_DOUBLINGS)
         self.local_pause_until = self.state.now + int(pause * (0.5 + 0.5 * self.state.random.random()))
         self.local_faults += 1
@@ -134,10 +137,12 @@
         settings = self.state.settings
         self.breaker = BreakerState.OPEN
         self.limit = 0
-        # A refused connection costs nothing where a full table is reported, and finds a return.
+        # Where full connection tables are reported apart, a refused connection costs the destination nothing,
+        # and a short cooldown finds its recovery sooner.
         free_of_cost = settings.reports_full_connection_table and outcome is AttemptOutcome.CONNECT_FAILED
         cooldown = tuning.INITIAL_COOLDOWN << (self.reopened > 0 and not free_of_cost)
-        # Senders take turns by number at a destination just back, all within one more pause.
+        # Staggers the trial requests of all senders by sender number over one more cooldown, so that they do
+        # not arrive at a recovered destination together.
         self.open_until = (
             self.state.now + cooldown + cooldown * settings.sender_index // settings.sender_count
         )
@@ -151,14 +156,19 @@
         self.log("breaker closed")
 
     def apply_listed_rate(self, rate: float) -> None:
-        """The listed rate stands in where responses report none."""
+        """Uses the rate of the endpoint list where responses report none; a `rate` of 0 changes nothing."""
         settings = self.state.settings
         if settings.has_listed_rates and not settings.has_load_reports:
             self.rate_limit.reported = rate or self.rate_limit.reported
 
     def recovery_reported(self) -> None:
-        """Another sender delivered after an outage: else each finds it at a call and a pause."""
-        if self.outage.down:  # at random again: buckets that filled meanwhile would overload it together
+        """Ends the outage, as another sender has delivered a message.
+
+        Otherwise each sender would find the recovery only by a call of its own after a cooldown.
+        """
+        if self.outage.down:
+            # A new bucket starts at a random level: buckets that filled during the outage would overload the
+            # destination together.
             self.outage.begin(self.state.now)
             self.outage.recover()
             if self.breaker is BreakerState.OPEN:
--- a/ashpath/policy/judgement.py
+++ b/ashpath/policy/judgement.py
@@ -1,4 +1,7 @@
-"""What an outcome says of load, where it differs from ADR 0122's table: docs/design.md has each case."""
+"""Decides which failures are signs of load, where this differs from the table of ADR 0122.
+
+docs/design.md has each case.
+"""
 
 from __future__ import annotations
 
@@ -13,19 +16,29 @@
 
 
 def is_connection_table_full(settings: PolicySettings, outcome: AttemptOutcome, duration: int) -> bool:
-    """Full of connections, or down where a full table is not reported."""
+    """Returns whether the endpoint's connection table was full.
+
+    Without a report of full tables, a connection refused within half of the connect timeout counts as one,
+    although the endpoint may be down. `duration` is in microseconds.
+    """
     if outcome is AttemptOutcome.CONNECT_FAILED and not settings.reports_full_connection_table:
         return 2 * duration < settings.connect_timeout
     return outcome is AttemptOutcome.CONNECTION_TABLE_FULL
 
 
 def was_overtaken(attempt: Attempt) -> bool:
-    """Its connection may be dead: the endpoint works on nothing."""
+    """Returns whether later calls at the endpoint succeeded fast meanwhile.
+
+    The attempt's connection may then be dead, and the endpoint does not process the call.
+    """
     return attempt.endpoint.fast_successes > attempt.successes_mark + tuning.OVERTAKING_SUCCESSES
 
 
 def record_failure(gate: Gate, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> bool:
-    """Whether a failure says nothing of load, though the table takes it for a sign; notices outages, too."""
+    """Counts a failure, detects outages, and returns whether the failure is unrelated to load.
+
+    ADR 0122's table takes every such failure for a sign of load. `duration` is in microseconds.
+    """
     settings = gate.state.settings
     outage = gate.outage
     if outcome is AttemptOutcome.OVERLOADED and not settings.has_load_reports:
@@ -41,23 +54,26 @@
     failure_run = outage.is_failure_run(
         ambiguous=ambiguous, min_failures=_min_failure_run(gate, outcome) if ambiguous else 1.0
     )
-    # So long a wait with ample quota is no limit's: an outage is announced, and all are told the same end.
+    # A rate limit with ample quota does not explain so long a Retry-After: the destination announces an
+    # outage, with the same end for all senders.
     outage_announced = ample_quota and gate.retry_after_until - gate.state.now > tuning.OUTAGE_DETECTION_TIME
     if outage_announced or (failure_run and not outage.down):
         outage.begin(max(gate.state.now, gate.retry_after_until))
         gate.log(f"ailing: {outage.failures:.1f} failures, last {outcome.value}")
-    if rate_limited and not failure_run and not outage_announced:  # the rate explains it
+    if rate_limited and not failure_run and not outage_announced:  # the rate limit explains the failure
         gate.rate_limit.decrease(attempt.started_at, outage.succeeded_at)
         return True
     if outcome in (AttemptOutcome.ERROR, AttemptOutcome.CONNECTION_RESET):
-        return (
-            gate.errors.add(gate.state.now) < tuning.OVERLOAD_ERROR_SHARE and not failure_run
-        )  # one among successes is no load
+        # An error among successes is no sign of load.
+        return gate.errors.add(gate.state.now) < tuning.OVERLOAD_ERROR_SHARE and not failure_run
     return outcome is AttemptOutcome.TIMED_OUT and (duration < attempt.timeout or was_overtaken(attempt))
 
 
 def _min_failure_run(gate: Gate, outcome: AttemptOutcome) -> float:
-    # Who calls seldom sees a second failure too late: of many such, each one's retry is a push.
+    # Returns the least weight of consecutive failures that makes an outage after an ambiguous one. A sender
+    # that calls seldom sees a second failure too late, and the retries of many such senders overload the
+    # destination: one ambiguous failure suffices. Where full connection tables are frequent, one suffices
+    # only if it is a failed connection.
     tables_full = max(gate.state.full_table_shares) > tuning.MAX_FULL_TABLE_SHARE
     explained_by_full_tables = tables_full and outcome is not AttemptOutcome.CONNECT_FAILED
     return 1.0 if explained_by_full_tables else tuning.AMBIGUOUS_FAILURE_WEIGHT
--- a/ashpath/policy/queues.py
+++ b/ashpath/policy/queues.py
@@ -1,4 +1,4 @@
-"""Which of the messages that wait goes next, when, and how long its call may take."""
+"""Selection of the next queued message, batching deadlines and bounds of call durations."""
 
 from __future__ import annotations
 
@@ -9,17 +9,24 @@
 
 
 class RankedQueues(WaitingQueues):
-    """The messages of one destination, by what is lost as they wait."""
+    """The queues of one destination, ranked by the value that waiting costs."""
 
     def duration_bound(self, traffic_class: TrafficClass) -> int:
-        """What nearly all calls take here, by the class's own durations or else by those of all."""
+        """Returns the microseconds within which nearly all calls of the class end at this destination.
+
+        Until the class has enough deliveries here, twice the bound of all deliveries counts, then the class's
+        latency objective.
+        """
         for durations, factor in ((self.durations[traffic_class.index], 1), (self.state.durations, 2)):
             if durations.count >= tuning.MIN_DURATION_SAMPLES:
                 return int(durations.mean + tuning.DURATION_DEVIATIONS * durations.deviation) * factor
         return traffic_class.settings.latency_objective
 
     def batching_deadline(self, max_batch_size: int) -> int | None:
-        """Until when a call waits to be fuller, a part of the latency objective; None: it may go now."""
+        """Returns until when a call waits for a fuller batch, in microseconds, or None if it may start now.
+
+        The wait is bounded by a share of the oldest messages' latency objectives.
+        """
         if self.count_in_time() >= max_batch_size or any(self.late):
             return None
         remaining_share = 1 - tuning.BATCHING_SHARE
@@ -31,7 +38,12 @@
         return None if deadline <= self.state.now else deadline
 
     def next_message(self, endpoint: Endpoint, delivery_rate: float) -> Message | None:
-        """Who would lose most by waiting until all others are sent; then who is worth most."""
+        """Returns the message that goes next to an endpoint, or None if no queued message may go there.
+
+        Messages that can meet their latency objective go first, among these the one that loses most value by
+        waiting until all others are sent, then the most valuable. `delivery_rate` is in deliveries per
+        second.
+        """
         now = self.state.now
         best = None
         best_rank = (False, 0.0, 0.0)
@@ -39,7 +51,7 @@
         for queue in (*self.in_time, *map(reversed, self.late)):
             for message in queue:
                 if message.deadline_at <= now or not _is_repeat_recognised(message, endpoint):
-                    continue  # its timer is to come yet
+                    continue  # a message past its deadline is finished by its timer
                 delivered_at = now + self.expected_duration(message.traffic_class)
                 value = message.value_at(delivered_at)
                 rank = (
@@ -55,7 +67,7 @@
 
 
 def _is_repeat_recognised(message: Message, endpoint: Endpoint) -> bool:
-    # Whether the endpoint would know a retry for one, or it is none.
+    # True for a message that has not run yet, or if the endpoint would recognise its repeat.
     run = message.first_run
     any_zone = message.traffic_class.settings.deduplicates_across_zones
     return run is None or any_zone or run.zone == endpoint.zone
--- a/ashpath/policy/rate_pacing.py
+++ b/ashpath/policy/rate_pacing.py
@@ -1,6 +1,7 @@
-"""The rate limit beside the concurrency limit: adapted by refusals and by what responses report of a limit.
+"""The rate limit that acts beside the concurrency limit; rejections and load reports adapt it.
 
-Where responses report none, stand-ins act: the listed rate or the own one, and the time since a refusal.
+Without load reports, the listed rate or else this sender's own rate replaces the reported limit, and the time
+since the latest rejection replaces the reported quota.
 """
 
 from __future__ import annotations
@@ -13,45 +14,55 @@
 
 
 class RateLimit(RateLimitState):
-    """The calls a second that one gate lets pass."""
+    """The calls per second that may pass one gate."""
 
     __slots__ = ()
 
     def available_at(self, now: int) -> int | None:
-        """None if a call may go now, else when one may."""
+        """Returns None if a call may start now, else the time at which one may, in microseconds."""
         if not self.rate:
             return None
-        senders_root = self.state.settings.sender_count**0.5  # they have bursts of their own
+        senders_root = self.state.settings.sender_count**0.5  # all senders send bursts of their own
         burst = tuning.BURST_SECONDS * self.reported * self.remaining_quota / senders_root
         return self.bucket.available_at(now, self.rate, max(1.0, burst))
 
     def update(self, report: LoadReport) -> None:
-        """Follows what a response reported."""
+        """Adapts the limit to a load report."""
         before = self.reported
         elapsed = self.state.now - self.reported_at
         self.remaining_quota = report.remaining_quota
         self.reported_at = self.state.now
         gain = max(tuning.SMOOTHING_GAIN, 1 - exp(-elapsed / tuning.REPORT_WINDOW)) if before else 1.0
         self.reported += gain * (report.rate_limit - before)
-        # The rate is a part of the limit: who calls seldom learns once of a lower one, and follows at once.
+        # The rate keeps its share of the limit: a sender that calls seldom gets a single report of a lower
+        # limit and has to follow at once.
         first_rate = max(self.state.initial_rate, self.even_split())
         self._set_rate(self.rate * self.reported / before if self.rate else first_rate)
 
     def _set_rate(self, rate: float) -> None:
-        maximum = self.reported if self.state.settings.has_load_reports else rate  # a stand-in is no bound
+        # A limit that was not reported does not bound the rate.
+        maximum = self.reported if self.state.settings.has_load_reports else rate
         self.rate = max(min(rate, maximum), tuning.MIN_EVEN_SPLIT_SHARE * self.even_split())
 
     def refused_without_report(self, delivery_rate: float) -> None:
-        """Nothing is left, as far as is known, of the listed rate or else of the own one."""
+        """Notes an OVERLOADED outcome without a load report: no quota is left of the limit.
+
+        If no limit is known, this sender's rate times the number of senders replaces it. `delivery_rate` is
+        in deliveries per second.
+        """
         self.remaining_quota = 0.0
         self.refused_at = self.state.now
         own_rate = max(delivery_rate, self.state.initial_rate)
         self.reported = self.reported or own_rate * self.state.settings.sender_count
 
     def decrease(self, started_at: int, succeeded_at: int) -> None:
-        """A refusal that the limit explains: once per burst, by the start of the call."""
+        """Decreases the rate after a rejection that the limit explains, once per burst.
+
+        A call that started before the latest decrease belongs to the same burst. `succeeded_at` is the time
+        of the latest success, in microseconds.
+        """
         state = self.state
-        jitter = state.random.random() - 0.5  # those refused together would come back together
+        jitter = state.random.random() - 0.5  # calls rejected together would be retried together
         self.bucket.tokens = 0.0 if state.settings.has_load_reports else jitter
         self.bucket.updated_at = state.now
         state.initial_rate = max(
@@ -68,10 +79,10 @@
             self.decreased_at = state.now
 
     def increase(self) -> None:
-        """A success, by the share of the limit that is left."""
+        """Increases the rate after a success, by the share of the limit that is left."""
         state = self.state
         has_reports = state.settings.has_load_reports
-        if not has_reports:  # as much is left as time has passed since the last refusal
+        if not has_reports:  # estimates the quota by the time since the latest rejection
             self.remaining_quota = 1 - exp((self.refused_at - state.now) / tuning.REPORT_WINDOW)
         if not self.reported:
             return
--- a/ashpath/policy/retries.py
+++ b/ashpath/policy/retries.py
@@ -1,4 +1,4 @@
-"""Whether a message may be sent once more, and its final answer if not."""
+"""Decides whether a message may be sent again, and how an undelivered message is answered."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 def may_be_sent(state: SenderState, message: Message) -> bool:
-    """Whether an attempt is harmless, and has time to succeed once a gate opens."""
+    """Returns whether an attempt is safe, and has time to succeed once a gate opens.
+
+    Restored messages without an attempt wait only for a Retry-After, not for a gate that may open later than
+    their deadline.
+    """
     destination = message.destination
     untried = message.restored_untried and not message.attempts
     sent_at = state.now + destination.opens_in(only_reported=untried)
@@ -25,14 +29,21 @@
 
 
 def retry_window_end(state: SenderState, message: Message) -> int:
-    """The last moment for a retry to be recognised; a connection may have to be made on the way."""
+    """Returns the latest time in microseconds at which a retry may start and still be recognised as a repeat.
+
+    The connect timeout is subtracted, as the retry may need a new connection.
+    """
     started_at = message.first_run.started_at if message.first_run else state.now
     window = message.traffic_class.settings.deduplication_window
     return started_at + window - state.settings.connect_timeout
 
 
 def re_evaluation_time(state: SenderState, message: Message) -> int:
-    """When to re-evaluate: at its objective, its deadline or as its window ends, less what a call takes."""
+    """Returns when a queued message is re-evaluated, in microseconds.
+
+    The time is its latency objective, its deadline or the end of its deduplication window, less the expected
+    duration of a call.
+    """
     expected = message.destination.queues.expected_duration(message.traffic_class)
     at = message.objective_at
     if at - expected <= state.now:
@@ -43,7 +54,7 @@
 
 
 def answer_undelivered(state: SenderState, message: Message) -> None:
-    """A rejection where it is harmless to submit it again, else a failure."""
+    """Rejects a message that is safe to submit again, with a Retry-After; fails any other."""
     retry_safety = message.traffic_class.settings.retry_safety
     if message.first_run is None or retry_safety is RetrySafety.IDEMPOTENT:
         opens_in = max(tuning.DEFAULT_RETRY_AFTER, message.destination.opens_in())
--- a/ashpath/policy/tuning.py
+++ b/ashpath/policy/tuning.py
@@ -1,80 +1,141 @@
-"""The tuned values. Times are microseconds; rates are calls a second. docs/design.md says when each acts."""
+"""Tuned values of the policy; docs/design.md describes when each applies.
+
+Times are microseconds and rates calls per second, unless a comment says otherwise.
+"""
 
 from ashpath.core.interface import AttemptOutcome, RetrySafety
 from ashpath.core.statistics import SECOND
 
-# The gate.
-RESERVATION_TIME = 5 * SECOND  # of a timed-out call: longer spares the destination, shorter uses it sooner
-INITIAL_COOLDOWN = 1 * SECOND  # first pause of an open breaker, then twice that: longer finds a return later
-MAX_IN_FLIGHT_TO_FREE = (
-    3  # that a destination has of the calls in flight, for one left to others; more starves these
-)
-SMOOTHING_GAIN = 0.1  # weight of a new measurement: more follows a change sooner, less is steadier
-OVERTAKING_SUCCESSES = 3  # fast later successes that excuse a time-out
-OVERLOAD_ERROR_SHARE = 0.5  # errors and resets below this share of the answers leave the limit alone
-MAX_FULL_TABLE_SHARE = 0.02  # past it connections are not kept; less spends new ones, more leaves none
+# Gates.
+
+# Time for which a timed-out call keeps its place in the concurrency limit. A longer one leaves capacity
+# unused; a shorter one adds load to a destination that still processes the call.
+RESERVATION_TIME = 5 * SECOND
+# First cooldown of an open breaker; those after a failed trial request are twice as long. A longer one delays
+# the discovery of a recovered destination; a shorter one sends more trial requests to a failing one.
+INITIAL_COOLDOWN = 1 * SECOND
+# Calls that a gate may have in flight for each place left free by all gates together. A larger ratio starves
+# the other destinations; a smaller one holds a single busy destination back.
+MAX_IN_FLIGHT_TO_FREE = 3
+# Weight of a new measurement, 0 to 1. A larger one follows changes sooner; a smaller one is steadier.
+SMOOTHING_GAIN = 0.1
+# A time-out is no sign of overload if more fast successes than this overtook the call at its endpoint. A
+# smaller number excuses real overload; a larger one reduces the limit because of a dead connection.
+OVERTAKING_SUCCESSES = 3
+# Share of errors and resets among outcomes from which they are a sign of overload. A smaller share reduces
+# the limit because of isolated errors; a larger one misses overload that shows as errors.
+OVERLOAD_ERROR_SHARE = 0.5
+# Share of calls that find a full connection table, above which idle connections are closed. A smaller share
+# costs new connections; a larger one leaves no free ones at the endpoint.
+MAX_FULL_TABLE_SHARE = 0.02
+
+# Time-outs. One that is too early costs most where a retry is not free; calls that wait until their deadlines
+# would fill the concurrency limit.
 
-# Timeouts: an early one loses most where a retry is not free; waiting for the deadline would fill the limit.
-DURATION_DEVIATIONS = 8  # over the mean that a call is given; less frees places sooner, loses slow answers
-MIN_DURATION_SAMPLES = 5  # deliveries before durations are trusted
+# Mean absolute deviations above the mean duration within which nearly all calls end. Fewer deviations free
+# places in the limit sooner, but time out slow responses.
+DURATION_DEVIATIONS = 8
+# Deliveries that are measured before their durations are used. Fewer give unreliable bounds; more keep the
+# latency objective as the bound for longer.
+MIN_DURATION_SAMPLES = 5
+# Multiple of the duration bound that an attempt may take.
 TIMEOUT_FACTOR = {RetrySafety.IDEMPOTENT: 1, RetrySafety.DEDUPLICATED: 2, RetrySafety.AT_MOST_ONCE: 4}
-MIN_TIMEOUT = 2 * SECOND  # below this, a pause at the far end or a new connection looks like a time-out
+# Shortest duration bound that the factor is applied to. Below it, a pause at the endpoint or a new connection
+# looks like a time-out.
+MIN_TIMEOUT = 2 * SECOND
 
 # Outages and slow start.
-OUTAGE_FAILURES = (
-    4  # so many in a row, fewer below a call a second, and no success for OUTAGE_DETECTION_TIME: an outage
-)
-RATE_LIMITED_FAILURE_WEIGHT = (
-    0.25  # what a refusal at a known limit counts, with ample quota; without any, nothing
-)
-AMBIGUOUS_FAILURE_WEIGHT = 0.5  # what a failure counts that may have other causes than an outage
-OUTAGE_DETECTION_TIME = 3 * SECOND // 2  # so long without a success, no limit explains failures and refusals
-RATE_WINDOW = 10 * SECOND  # over which events are counted; longer is steadier, later to follow
-MIN_EXPECTED_RATE = 0.2  # or the mean of all if less, where less is known; more probes more
-NEW_SUBMISSION_SHARE = (
-    0.5  # of the messages submitted in an outage, so many do not come again after a rejection
-)
-LISTED_RATE_SHARE = 2 / 3  # of a listed rate, which may be half too high; more overloads, less is slower back
-SAFETY_FACTOR = 0.9  # share used of what the rule on recovering destinations allows
 
-# Faults of this machine: its tables may be full, and calls through one gate are tried again ever later.
-INITIAL_LOCAL_PAUSE = SECOND // 20  # the first pause; shorter hammers a full table, longer delays messages
-MAX_LOCAL_PAUSE_DOUBLINGS = 2  # of it, with each further fault in a row
+# Consecutive failures that make an outage, by their weights, if no call succeeded for OUTAGE_DETECTION_TIME.
+# Below one delivery per second proportionally fewer are needed. A larger number detects outages later; a
+# smaller one takes isolated failures for outages.
+OUTAGE_FAILURES = 4
+# Weight of an OVERLOADED outcome at a known rate limit with ample quota left; without ample quota it is 0.
+RATE_LIMITED_FAILURE_WEIGHT = 0.25
+# Weight of a failure that may have other causes than an outage. A larger weight takes isolated time-outs and
+# full connection tables for outages; a smaller one detects outages later.
+AMBIGUOUS_FAILURE_WEIGHT = 0.5
+# Time without a success after which a rate limit no longer explains failures and OVERLOADED outcomes. A
+# longer Retry-After with ample quota left announces an outage. A larger value detects outages later; a
+# smaller one takes short pauses for outages.
+OUTAGE_DETECTION_TIME = 3 * SECOND // 2
+# Time over which events are counted. A longer window is steadier; a shorter one follows changes sooner.
+RATE_WINDOW = 10 * SECOND
+# Lower bound of the rate expected of a recovering destination; without load reports, the mean rate of
+# submissions per destination if that is less. A higher bound sends more calls to destinations that are down.
+MIN_EXPECTED_RATE = 0.2
+# Share of the messages submitted in an outage that are not resubmissions after a rejection.
+NEW_SUBMISSION_SHARE = 0.5
+# Share used of a listed rate, which may be half too high. A larger share overloads a recovering destination;
+# a smaller one slows its recovery down.
+LISTED_RATE_SHARE = 2 / 3
+# Share used of the load that the operators' rule allows at a recovering destination. A larger share leaves no
+# margin; a smaller one slows the recovery down.
+SAFETY_FACTOR = 0.9
+
+# Faults of this machine, such as a full descriptor table: calls pause, longer after each further fault.
 
-# The rate limit.
-INITIAL_RATE = 0.4  # where none is known yet; more wastes limits, as with its bounds
+# First pause. A shorter one repeats calls while the table is still full; a longer one delays messages.
+INITIAL_LOCAL_PAUSE = SECOND // 20
+# Doublings of the pause, one for each further fault in a row. More delay messages after the fault has ended.
+MAX_LOCAL_PAUSE_DOUBLINGS = 2
+
+# Rate limits.
+
+# Rate of a gate whose rate limit is not known yet, adapted between the two bounds. A higher rate or bound
+# wastes limits.
+INITIAL_RATE = 0.4
 MIN_INITIAL_RATE = 0.01
 MAX_INITIAL_RATE = 1.0
-INITIAL_RATE_DECREASE_FACTOR = 0.6  # what a refusal leaves of the initial rate
-INITIAL_RATE_INCREASE_FACTOR = 1.08  # by a success
-RATE_DECREASE_FACTOR = 0.8  # what a burst of refusals leaves of the rate; lower wastes more of the limit
-REPEATED_RATE_DECREASE_FACTOR = (
-    0.5  # and the next one without a success: an overrun limit may let none through
-)
-MAX_RATE_INCREASE = 0.4  # that a success adds, when all of the limit is left
-EVEN_SPLIT_INCREASE_SHARE = (
-    0.2  # past an even split, the part of it that a success adds; more overruns it as all do it
-)
-TARGET_REMAINING_QUOTA = (
-    0.25  # the share of the limit that successes steer to; more wastes it, less draws refusals
-)
-MIN_EVEN_SPLIT_SHARE = 0.5  # of an even split: no lower, as the others cannot take it all for long
-REPORT_WINDOW = 2 * SECOND  # how long a report holds against the next; longer is steadier, later to follow
-BURST_SECONDS = 0.3  # seconds of the limit, as far as it is left, that may go at once; more overruns it
-AMPLE_QUOTA = 0.5  # refused with so much of the limit left: an outage, not the limit
+# Factor of the initial rate at an OVERLOADED outcome.
+INITIAL_RATE_DECREASE_FACTOR = 0.6
+# Factor of the initial rate at a success with half of the limit left; its square if all is left.
+INITIAL_RATE_INCREASE_FACTOR = 1.08
+# Factor of the rate at a burst of OVERLOADED outcomes. A lower one leaves more of the limit unused.
+RATE_DECREASE_FACTOR = 0.8
+# Factor at the next burst without a success in between, as an exceeded limit may reject all calls.
+REPEATED_RATE_DECREASE_FACTOR = 0.5
+# Bound of the step by which a success changes the rate; the step is multiplied by the difference between the
+# remaining quota and TARGET_REMAINING_QUOTA.
+MAX_RATE_INCREASE = 0.4
+# The same bound above the even split, as a share of it. A larger one exceeds the limit, as all senders
+# increase their rates at once.
+EVEN_SPLIT_INCREASE_SHARE = 0.2
+# Share of the limit that stays unused in equilibrium. A larger share wastes the limit; a smaller one causes
+# OVERLOADED outcomes.
+TARGET_REMAINING_QUOTA = 0.25
+# Share of the even split below which the rate does not fall: the others cannot use the whole limit for long.
+MIN_EVEN_SPLIT_SHARE = 0.5
+# Time constant with which earlier reports lose weight. A longer one is steadier; a shorter one follows
+# changes sooner.
+REPORT_WINDOW = 2 * SECOND
+# Seconds of the remaining limit that may be sent at once. More exceeds the limit.
+BURST_SECONDS = 0.3
+# Remaining share of the limit from which an OVERLOADED outcome points to an outage rather than to the limit.
+AMPLE_QUOTA = 0.5
 
-# Queues.
-MAX_POLL_DOUBLINGS = 10  # of a second, between polls of the endpoint list that fail
-MIN_POLL_DELAY_SHARE = 0.5  # of that pause, at random from there to all of it
-RANKING_INTERVAL = 1 * SECOND  # how often endpoints are ranked anew
-BATCHING_SHARE = 0.5  # of the latency objective that a call waits to be fuller; more saves calls, less time
-SHEDDING_QUEUE_SHARE = (
-    0.9  # past this part of the capacity late messages give way; less drops more, more rejects new
-)
-SHEDDING_CANDIDATES = 8  # of those longest late, one of which gives way
-DEFAULT_RETRY_AFTER = 1 * SECOND  # of a rejection where nothing better is known
+# Queues, polls and ranking.
+
+# Doublings of the pause of one second between failed polls of the endpoint list.
+MAX_POLL_DOUBLINGS = 10
+# The delay of a poll is drawn at random between this share of the pause and all of it.
+MIN_POLL_DELAY_SHARE = 0.5
+# Interval between two rankings of the endpoints. A longer one follows failures later.
+RANKING_INTERVAL = 1 * SECOND
+# Share of the latency objective for which a call waits for a full batch. A larger share saves calls and
+# leaves less time for the delivery.
+BATCHING_SHARE = 0.5
+# Share of the queue capacity above which late messages are dropped. A smaller share drops more late messages;
+# a larger one rejects more new messages.
+SHEDDING_QUEUE_SHARE = 0.9
+# Number of longest late messages among which the least valuable is dropped.
+SHEDDING_CANDIDATES = 8
+# Shortest Retry-After of a rejection, unless clients heed only a shorter one.
+DEFAULT_RETRY_AFTER = 1 * SECOND
 
+# Outcomes after which the attempt may still run at the destination.
 MAY_STILL_RUN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED)
+# Outcomes that are no sign of overload.
 NO_OVERLOAD_SIGNAL = (
     AttemptOutcome.DELIVERED,
     AttemptOutcome.CANCELLED,
