--- a/ashpath/bench_adapter/__init__.py
+++ b/ashpath/bench_adapter/__init__.py
@@ -1,5 +1,6 @@
-"""The policy on the operators' bench, `python -m ashpath.bench_adapter`: its wire on standard streams.
+"""Runs the policy on the operators' bench, by `python -m ashpath.bench_adapter`.
 
-The bench starts it as a process and plays the network of many senders itself: batches of events come in, a
-line of JSON each, and the policy's actions go back. It decides nothing, opens no socket and reads no clock.
+The bench starts the adapter as a process and simulates the network of many senders. It writes batches of
+events to standard input, one line of JSON each, and reads the policy's actions from standard output. The
+adapter makes no decision, opens no socket and reads no clock.
 """
--- a/ashpath/bench_adapter/adapter.py
+++ b/ashpath/bench_adapter/adapter.py
@@ -1,4 +1,4 @@
-"""Reads batches of the bench's wire, hands their events to the instances, writes the actions back."""
+"""Reads batches of events, passes the events to the policy instances, and writes their actions."""
 
 from __future__ import annotations
 
@@ -21,14 +21,18 @@
 
 
 class BenchAdapter:
-    """All instances of one process; they share nothing but the endpoint lists, which the wire numbers."""
+    """All policy instances of one process; they share nothing but the endpoint lists, by number."""
 
     def __init__(self) -> None:
         self.instances: dict[int, PolicyInstance] = {}
         self.endpoint_lists: EndpointLists = {}
 
     def reply(self, line: bytes) -> bytes:
-        """The line of actions to a line of events. Raises BenchProtocolError, or as a wrong type has it."""
+        """Returns the line of actions for a line of events.
+
+        Raises BenchProtocolError on invalid input, or KeyError, TypeError, ValueError or AttributeError if a
+        field is missing or has a wrong type.
+        """
         batch = parse_batch(line)
         now = microseconds(batch["wall"])
         replies = []
@@ -40,7 +44,7 @@
         return orjson.dumps({"senders": replies}, option=orjson.OPT_APPEND_NEWLINE)
 
     def run_batch(self, number: int, now: int, items: list[Row]) -> list[Row]:
-        """The actions of one instance on its events, at that time in microseconds."""
+        """Returns the actions of one instance for its events; `now` is in microseconds."""
         instance: PolicyInstance | None = None
         for item in items:
             ((name, body),) = item.items()
@@ -68,7 +72,7 @@
 
 
 def parse_batch(line: bytes) -> Row:
-    """A batch with a clock. Raises MalformedBatchError."""
+    """Parses a batch that has a time. Raises MalformedBatchError."""
     try:
         batch = orjson.loads(line)
     except orjson.JSONDecodeError as error:
@@ -79,7 +83,7 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> int:
-    """Serves batches until the input ends; returns the exit code."""
+    """Answers batches until the input ends; returns the exit code of the process."""
     adapter = BenchAdapter()
     for line in source:
         if not line.strip():
--- a/ashpath/bench_adapter/policy_instance.py
+++ b/ashpath/bench_adapter/policy_instance.py
@@ -1,4 +1,4 @@
-"""One instance of a sender on the bench: its policy, and the events that the bench has for it."""
+"""One sender instance on the bench: converts the bench's events to calls of its policy."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
 EndpointLists = dict[int, list[EndpointRecord]]
-"""By number: the bench hands each list over once, for all instances."""
+"""Endpoint lists by number; the bench sends each list once, for all instances."""
 
 
 class PolicyInstance:
-    """One instance; after a fault of its policy it does nothing any more."""
+    """One instance; it ignores all events after an exception of its policy."""
 
     def __init__(self, seed: int, settings: Row, endpoint_lists: EndpointLists) -> None:
         self.actions = RecordedActions()
@@ -41,7 +41,7 @@
         self.failed = False
         self.report_fields = load_report_fields(settings)
         self.policy = DeliveryPolicy(policy_settings(seed, settings), self.actions)
-        self.handlers: dict[str, Callable[[Any], None]] = {  # a field that is missing is a KeyError
+        self.handlers: dict[str, Callable[[Any], None]] = {  # raise KeyError if a field is missing
             EventName.SUBMITTED: self._submitted,
             EventName.ATTEMPT_FINISHED: self._attempt_finished,
             EventName.TIMER_FIRED: self._timer_fired,
@@ -51,7 +51,7 @@
         }
 
     def begin_batch(self, now: int) -> None:
-        """The time of all events until `end_batch`, in microseconds."""
+        """Sets the time of all events until `end_batch`, in microseconds."""
         if self.failed:
             return
         try:
@@ -60,7 +60,7 @@
             self._handle_exception(error)
 
     def handle(self, name: str, body: Row) -> None:
-        """One event. Raises BenchProtocolError where it is not the wire's."""
+        """Handles one event. Raises BenchProtocolError if its name is unknown or its body malformed."""
         if self.failed:
             return
         handler = self.handlers.get(name)
@@ -74,7 +74,7 @@
             self._handle_exception(error)
 
     def end_batch(self) -> list[Row]:
-        """The actions of the batch."""
+        """Ends the batch and returns its actions."""
         if not self.failed:
             try:
                 self.policy.end_batch()
@@ -83,7 +83,8 @@
         return self.actions.take()
 
     def _handle_exception(self, error: Exception) -> None:
-        # An exception inside the policy is an action of the wire; what this module raises is bad input.
+        # An exception raised in this module means malformed input. An exception of the policy is reported to
+        # the bench as an action.
         self.failed = True
         trace = error.__traceback__
         while trace and trace.tb_next:
@@ -109,7 +110,7 @@
         if not self.report_fields:
             return None
         quota_field, rate_field = self.report_fields
-        if not values[rate_field]:  # a rate of 0 stands for no limit
+        if not values[rate_field]:  # a rate of 0 means that there is no limit
             return None
         return LoadReport(remaining_quota=values[quota_field], rate_limit=values[rate_field])
 
--- a/ashpath/bench_adapter/wire_names.py
+++ b/ashpath/bench_adapter/wire_names.py
@@ -1,6 +1,6 @@
-"""The bench's wire: its names for events, actions and outcomes, and what stands in the body of each.
+"""Names of events, actions and outcomes in the bench's protocol, and the fields of event bodies.
 
-Times are milliseconds there, and whole microseconds in the policy.
+Times are milliseconds in the protocol and whole microseconds in the policy.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from ashpath.core.interface import AttemptOutcome, EndpointRecord, EndpointStatus
 
 Row = dict[str, Any]
-"""A JSON object as it came in, or goes out."""
+"""A JSON object of the protocol."""
 
 
 class EventName:
-    """What happens to an instance."""
+    """Events that the bench sends to an instance."""
 
     LIST_REGISTERED = "Register"  # for all instances of the process
     INSTANCE_STARTED = "Hello"
@@ -33,7 +33,7 @@
 
 
 class ActionName:
-    """What an instance does."""
+    """Actions that an instance returns."""
 
     START_ATTEMPT = "CallOut"
     REJECT = "TurnAway"
@@ -60,9 +60,9 @@
 OVERLOADED = "QueueFull"
 STATUSES = {"IN": EndpointStatus.ACTIVE, "LAME": EndpointStatus.DRAINING, "OUT": EndpointStatus.REMOVED}
 POLL_FAILED = "failed"
-"""Of a change of endpoints: the list could not be had."""
+"""Kind of an endpoint change: the poll of the list failed."""
 LIST_CHANGED = "delta"
-"""Of a change of endpoints: only what changed; else the list is whole."""
+"""Kind of an endpoint change: the list has the changed rows alone; with other kinds it is complete."""
 ALL_SENDERS = -1
 
 SubmittedBody = TypedDict(
@@ -72,36 +72,36 @@
     "AttemptFinishedBody",
     {"rid": int, "outcome": str, "remark-ms": float | None, "complete": bool, "stats": list[float] | None},
 )
-"""`remark-ms` is a Retry-After where the outcome is OVERLOADED; `stats` the fields of a load report."""
+"""`remark-ms` is the Retry-After if the outcome is OVERLOADED; `stats` has the fields of a load report."""
 
 
 class TimerFiredBody(TypedDict):
-    """The token that the policy gave the timer."""
+    """`ref` is the token that the policy passed with the timer."""
 
     ref: str
 
 
 class ClientDisconnectedBody(TypedDict):
-    """The message that nobody wants any more."""
+    """`rid` is the message whose client disconnected."""
 
     rid: int
 
 
 class GossipReceivedBody(TypedDict):
-    """Hexadecimal digits."""
+    """`contents` is the gossip message in hexadecimal digits."""
 
     contents: str
 
 
 class EndpointsChangedBody(TypedDict):
-    """`sheet` is the number of a registered list."""
+    """`sheet` is the number of a registered endpoint list."""
 
     kind: str
     sheet: int
 
 
 def endpoint_record(row: Row) -> EndpointRecord:
-    """A row of an endpoint list."""
+    """Converts a row of an endpoint list."""
     return EndpointRecord(
         endpoint_id=row["endpoint"],
         destination=row["cell"],
--- a/tests/bench_adapter/test_adapter.py
+++ b/tests/bench_adapter/test_adapter.py
@@ -1,4 +1,4 @@
-"""The bench adapter as a process, on its standard streams."""
+"""Runs the bench adapter as a process and exchanges batches over its standard streams."""
 
 from __future__ import annotations
 
@@ -56,15 +56,17 @@
 
 
 BAD_INPUT = {
-    "not JSON": b"{nonsense\n",
-    "no clock": b'{"senders":[]}\n',
-    "never started": b'{"wall":1,"senders":[{"sender-id":3,"items":[{"Wake":{"ref":"x"}}]}]}\n',
-    "unknown name": batches([1])[0][:-5] + b',{"Odd":{}}]}]}\n',
+    "input line is not valid JSON": b"{nonsense\n",
+    "batch has no clock: field 'wall'": b'{"senders":[]}\n',
+    "instance 3 is not running, but got event 'Wake'": (
+        b'{"wall":1,"senders":[{"sender-id":3,"items":[{"Wake":{"ref":"x"}}]}]}\n'
+    ),
+    "unknown event name 'Odd'": batches([1])[0][:-5] + b',{"Odd":{}}]}]}\n',
 }
 
 
 def second_batch(item: Mapping[str, object]) -> bytes:
-    """A batch that starts an instance, and one event in the next."""
+    """Returns a batch that starts an instance, and a second batch with one event."""
     event = {"wall": 2, "senders": [{"sender-id": 1, "items": [item]}]}
     return batches([1])[0] + json.dumps(event).encode() + b"\n"
 
@@ -86,7 +88,10 @@
 
 
 def test_policy_exception_stops_only_its_own_instance() -> None:
-    """Guards the other instances: the one whose policy raised does nothing any more."""
+    """Guards against an exception of one instance's policy that ends the process, and with it all instances.
+
+    The message has an unknown traffic class, so that the policy raises an exception.
+    """
     job = {"rid": 1, "addressee-no": 0, "priority": 9, "key": None, "ttl": 5}
     code, replies, _ = run_adapter([second_batch({"JobIn": job}), *batches([2])[:1]])
     assert code == 0
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -1,4 +1,4 @@
-"""What many senders send together to a destination that comes back (tests/support/fleet.py)."""
+"""The calls of many senders together at a recovering destination (tests/support/fleet.py)."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 def test_calls_of_all_senders_stay_within_recovering_capacity(
     customer: str, senders: int, capacity: float, restarts: str
 ) -> None:
-    """Guards the fleet: each sender alone is careful, and the sum is what counts. A restart within the outage
-    forgot it: 30 senders then sent five times what the destination could do."""
+    """Guards against overloading a recovering destination by the sum of all senders, each of which keeps its
+    own bounds. A restart during the outage lost its state: 30 senders then sent five times the capacity.
+    """
     for uneven in (False, True):
         fleet = Fleet(CUSTOMERS[customer], senders, capacity, uneven=uneven, restarts=RESTARTS[restarts])
         calls, allowed_calls = fleet.play().worst()
@@ -32,7 +33,7 @@
 @pytest.mark.parametrize("customer", CUSTOMERS)
 @pytest.mark.parametrize("senders", [3, 30])
 def test_unanswered_calls_of_all_senders_stay_within_recovering_capacity(customer: str, senders: int) -> None:
-    """The same where nobody refuses: calls go out and nothing comes."""
+    """The same where the destination accepts calls in the outage and never responds."""
     for restarts in ((), (40 * SECOND,), (45 * SECOND,)):
         fleet = Fleet(CUSTOMERS[customer], senders, 6.0, silent=True, restarts=restarts).play()
         calls, allowed_calls = fleet.worst()
@@ -41,7 +42,7 @@
 
 
 def test_unbounded_fleet_exceeds_recovering_capacity() -> None:
-    """With nothing to bound its calls the same fleet overloads it."""
+    """Guards against a measure that never fails: without bounds the same fleet overloads the destination."""
     settings = replace(CUSTOMERS["load reports"], warm_up_time=10 * SECOND, overload_multiple=100.0)
     fleet = Fleet(settings, 20, 6.0)
     fleet.play()
@@ -59,8 +60,9 @@
 
 
 def test_untried_messages_stay_queued_after_restart() -> None:
-    """Guards what was accepted over a restart: where a destination is down, or its rate not known yet, the
-    time to a first call was longer than what was left, and all was rejected at once with no call."""
+    """Guards messages that were accepted before a restart. If a destination is down, or its rate unknown, the
+    expected wait for a first call exceeds the time to the deadline; all were rejected without an attempt.
+    """
     scenario = run_scenario("""
         settings sender_count=40 has_load_reports=0
         class s idempotent objective=1s deadline=9s
@@ -74,11 +76,11 @@
     """)
     opens_at = scenario.gate(7).opens_at(scenario.now)
     assert opens_at
-    assert opens_at - scenario.now > 9 * SECOND  # longer than they have
+    assert opens_at - scenario.now > 9 * SECOND  # longer than the time to their deadlines
 
 
 def test_retry_after_past_deadline_rejects_restored_message() -> None:
-    """What a restart found is not kept for a destination that said when, and too late."""
+    """Guards against keeping a restored message whose destination sent a Retry-After past the deadline."""
     run_scenario("""
         class s idempotent objective=1s deadline=6s
         0s submit a b s 7
@@ -92,8 +94,9 @@
 
 
 def test_unlisted_endpoint_with_call_in_flight_keeps_its_gate() -> None:
-    """Guards Retry-Afters where endpoints are routes: unlisted for long and listed again, its gate is the one
-    that learns the outcome of the call that is still in flight."""
+    """Guards Retry-Afters where endpoints are routes. An endpoint that is unlisted for long and listed again
+    must keep its gate, as the call that is still in flight reports its outcome to that gate.
+    """
     scenario = run_scenario("""
         class s idempotent objective=20s deadline=60s
         kind per_endpoint
@@ -104,7 +107,7 @@
     """)
     known = scenario.policy.destinations[7].known
     gate = known["x1"].gate
-    scenario.messages[scenario.ids["a"]].due_at = 60 * SECOND  # its time-out is long
+    scenario.messages[scenario.ids["a"]].due_at = 60 * SECOND  # a long time-out
     scenario.run_to(15 * SECOND)
     scenario.step(["+0s", "list", "x1"])
     assert known["x1"].gate is gate
--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -1,4 +1,4 @@
-"""Events of one batch, in each order."""
+"""Events of one batch in every order."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 RETRY_AFTER = 2 * SECOND
 
-# Events that fall into one batch; `a` is in flight to x1, and its wait, deadline or grace ends just then.
+# Events of one batch; `a` is in flight to x1, and its wait, deadline or grace ends at the time of the batch.
 EVENTS: dict[str, Callable[[Scenario], PolicyEvent]] = {
     "timed out": lambda scenario: attempt_finished(
         scenario.ids["a"], AttemptOutcome.TIMED_OUT, 0, False, None
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("kind", ["kind", "kind per_endpoint"])
 @pytest.mark.parametrize("traffic_class", ["idempotent", "deduplicated window=1s ordered", "at_most_once"])
 def test_batch_events_in_any_order_keep_the_rules(kind: str, traffic_class: str) -> None:
-    """Whatever order a batch's events have, the rules hold to the end: the checker of scenarios looks on."""
+    """Guards against rules that hold only in some orders of events; the harness checks each action."""
     for names in permutations(EVENTS, 3):
         if {"timed out", "overloaded"} <= set(names):
             continue  # a call has one outcome
@@ -65,7 +65,7 @@
     scenario.policy.begin_batch(scenario.now)
     for at, name in enumerate(names):
         if name == "disconnect" and b.finished:
-            continue  # it has its answer by now: its client cannot leave any more
+            continue  # b has its final answer: its client cannot disconnect any more
         update_checker(scenario, a, name)
         if name == "list" and "detach" not in names[:at]:
             scenario.draining_since.pop("x1", None)
@@ -77,7 +77,7 @@
 
 
 def update_checker(scenario: Scenario, a: TrackedMessage, name: str) -> None:
-    """What the checker has to know of an event."""
+    """Updates the checker's state for an event that bypasses the scenario's commands."""
     if name in ("timed out", "overloaded"):
         if name == "timed out" and a.first_run_at is None:
             a.first_run_at = a.started_at
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario keeps the six rules; and the checker can fail."""
+"""Every scenario keeps the six rules, and the checker detects violations."""
 
 from __future__ import annotations
 
@@ -35,7 +35,9 @@
 
 
 def test_retry_after_of_unknown_endpoint_pauses_all_routes() -> None:
-    """Guards routes in a hot upgrade: an id too long for the shared memory is published without it."""
+    """Guards routes in a hot upgrade: a Retry-After is published without the endpoint's id if that is too
+    long for the shared memory, and must then pause all routes.
+    """
     scenario = Scenario(DeliveryPolicy)
     for line in ("kind per_endpoint", "endpoints x1 x2 : 7", "0s pass"):
         scenario.step(line.split())
@@ -47,7 +49,9 @@
 
 
 def test_recovery_gossip_restarts_recovery_bucket_at_random() -> None:
-    """Guards a returning destination against all that learn of it at once, with buckets filled meanwhile."""
+    """Guards a recovered destination against all senders that receive the gossip at once: their buckets have
+    filled during the outage, and each would send a call.
+    """
     scenario = Scenario(DeliveryPolicy)
     head = "settings gossip_enabled=1 sender_count=40"
     for line in (head, "2s submit a s 7", "+10ms connect_failed a"):
@@ -62,7 +66,7 @@
 
 
 class RuleBreakingPolicy:
-    """Sends at once and again after each outcome, or never."""
+    """Starts an attempt at once and after each outcome, or never."""
 
     def __init__(self, actions: PolicyActions, *, sends: bool) -> None:
         self.actions = actions
@@ -108,7 +112,9 @@
 
 
 def test_replaced_endpoints_are_forgotten_after_a_while() -> None:
-    """Successors under new ids all day: only those listed, and those removed of late, are known."""
+    """Guards against unbounded memory where endpoints are replaced under new ids all day: only listed and
+    recently removed endpoints stay known.
+    """
     scenario = Scenario(DeliveryPolicy)
     for line in ("endpoints x0 : 7", "0s submit a s 7", "+1s delivered a"):
         scenario.step(line.split())
--- a/tests/policy/test_snapshots.py
+++ b/tests/policy/test_snapshots.py
@@ -1,4 +1,4 @@
-"""How destinations stand, as the status API and the metrics see them."""
+"""Snapshots of destinations, which the status API and the metrics read."""
 
 from __future__ import annotations
 
