--- a/ashpath/policy/destination.py
+++ b/ashpath/policy/destination.py
@@ -1,4 +1,4 @@
-"""One destination: the order of its endpoints, and dispatch to them."""
+"""The ranking of a destination's endpoints, and the dispatch of messages to them."""
 
 from __future__ import annotations
 
@@ -13,26 +13,29 @@
 
 
 class Destination(DestinationState):
-    """Sends the messages of one destination as its gates allow."""
+    """Starts the attempts of one destination as its gates allow."""
 
     queues: RankedQueues
     gate: Gate
 
     def __init__(self, state: SenderState, number: int) -> None:
-        super().__init__(state, number, RankedQueues(state, tuning.GAIN))
+        super().__init__(state, number, RankedQueues(state, tuning.SMOOTHING_GAIN))
 
     def new_gate(self, route: str) -> Gate:
-        """A gate for all of the destination, or for one route."""
+        """Returns a gate for one route, or for the whole destination if `route` is empty."""
         return Gate(self.state, self.number, route)
 
     def rank(self) -> None:
-        """Well first, then cheap if routes, then quick; between equals at random, or all begin at one."""
+        """Sorts the endpoints by failure share, zone cost where endpoints are routes, and mean duration.
+
+        Equal endpoints are in random order, as all senders would start with the same one otherwise.
+        """
         costs = self.state.settings.zone_costs if self.limit_per_endpoint else ()
         cost = {e: costs[e.zone] if e.zone < len(costs) else 0.0 for e in self.endpoints}
         self.endpoints.sort(key=lambda e: (round(e.failure_share, 1), cost[e], e.mean_duration, e.tie_break))
 
     def dispatch(self) -> None:
-        """Starts attempts, as long as gates are open and messages wait."""
+        """Starts attempts while gates are open and messages are queued."""
         if self.max_batch_size > 1:
             deadline = self.queues.batching_deadline(self.max_batch_size)
             if deadline:
@@ -43,17 +46,17 @@
                 return
 
     def _dispatch_through(self, gate: GateState) -> bool:
-        # False if nothing more may be in flight here.
+        # Returns False if the destination may have no more calls in flight.
         state = self.state
         while self.queues:
-            # The cap is a part of what others leave: slow destinations leave room for the rest.
-            left = state.settings.max_in_flight - len(state.attempts_in_flight)
-            if gate.in_flight >= tuning.CAP_PARTS * left:
+            # The cap is a multiple of the places left free, so that slow destinations leave room for others.
+            free = state.settings.max_in_flight - len(state.attempts_in_flight)
+            if gate.in_flight >= tuning.MAX_IN_FLIGHT_TO_FREE * free:
                 state.needs_dispatch[self] = None
-                cancel_overdue(state)
+                cancel_overdue_attempt(state)
                 return False
             opens_at = gate.opens_at(state.now)
-            picked = self._pick(gate) if opens_at is None else None
+            picked = self._pick_endpoint_and_message(gate) if opens_at is None else None
             if picked is None:
                 if opens_at:
                     self.schedule_check(opens_at)
@@ -61,32 +64,33 @@
             self._start_attempt(*picked)
         return True
 
-    def _next_message(self, endpoint: Endpoint) -> Message | None:
-        return self.queues.next_for(endpoint, self.delivery_rate())
+    def _next_message_for(self, endpoint: Endpoint) -> Message | None:
+        return self.queues.next_message(endpoint, self.delivery_rate())
 
-    def _pick(self, gate: GateState) -> tuple[Endpoint, Message] | None:
-        # Fills the ranked endpoints from the top to their part of the limit, but where nobody may go.
-        usable = [e for e in self.endpoints if e.gate is gate]
-        most = -(-max(1, gate.limit) // max(1, len(usable)))
-        for endpoint in sorted(usable, key=lambda e: e.in_flight >= most):
-            message = self._next_message(endpoint)
+    def _pick_endpoint_and_message(self, gate: GateState) -> tuple[Endpoint, Message] | None:
+        # Prefers the best ranked endpoints below their even part of the limit, and skips those that no queued
+        # message may go to.
+        candidates = [e for e in self.endpoints if e.gate is gate]
+        per_endpoint_limit = -(-max(1, gate.limit) // max(1, len(candidates)))
+        for endpoint in sorted(candidates, key=lambda e: e.in_flight >= per_endpoint_limit):
+            message = self._next_message_for(endpoint)
             if message:
                 return endpoint, message
         return None
 
-    def _start_attempt(self, endpoint: Endpoint, first: Message) -> None:
+    def _start_attempt(self, endpoint: Endpoint, first_message: Message) -> None:
         now = self.state.now
         attempt = Attempt(endpoint=endpoint, started_at=now)
-        message: Message | None = first
+        message: Message | None = first_message
         while message and len(attempt.messages) < self.max_batch_size:
             transition(message, MessageState.IN_FLIGHT)
             self.queues.remove(message)
             attempt.messages.append(message)
-            message = self._next_message(endpoint)
+            message = self._next_message_for(endpoint)
         classes = [m.traffic_class for m in attempt.messages]
-        attempt.upper_bound = max(map(self.queues.upper_bound, classes))
-        factor = max(tuning.TIMEOUT_FACTOR[c.settings.retry_safety] for c in classes)
-        attempt.timeout = factor * max(tuning.MIN_TIMEOUT, attempt.upper_bound)
+        attempt.duration_bound = max(map(self.queues.duration_bound, classes))
+        timeout_factor = max(tuning.TIMEOUT_FACTOR[c.settings.retry_safety] for c in classes)
+        attempt.timeout = timeout_factor * max(tuning.MIN_TIMEOUT, attempt.duration_bound)
         attempt.unresolved = len(attempt.messages)
         for message in attempt.messages:
             message.attempt = attempt
@@ -96,10 +100,13 @@
         endpoint.gate.attempt_started(attempt)
 
 
-def cancel_overdue(state: SenderState) -> None:
-    """Guards what may be in flight against answers that never come: cancels the first overdue call."""
+def cancel_overdue_attempt(state: SenderState) -> None:
+    """Cancels the oldest overdue call, if the settings allow it.
+
+    Otherwise calls without a response would use up the calls that may be in flight.
+    """
     for attempt in state.attempts_in_flight if state.settings.may_cancel else ():
-        if attempt.upper_bound < state.now - attempt.started_at and not attempt.cancelled:
+        if attempt.duration_bound < state.now - attempt.started_at and not attempt.cancelled:
             attempt.cancelled = True
             for message in (m for m in attempt.messages if m.attempt is attempt):
                 state.actions.cancel_attempt(message.message_id, message.attempts - 1)
