--- a/ashpath/cli/ledger.py
+++ b/ashpath/cli/ledger.py
@@ -16,8 +16,8 @@
     message_rows,
     read_log,
     statistics,
-    verdict,
     verification,
+    verification_summary,
 )
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path))
@@ -50,7 +50,7 @@
     if as_json:
         print_json(verification(contents))
     else:
-        print(verdict(contents))
+        print(verification_summary(contents))
     return ExitCode.FAILED if contents.fault else ExitCode.OK
 
 
@@ -82,7 +82,7 @@
 def warn(contents: LogContents) -> None:
     """Says on standard error where the log is not whole."""
     if contents.fault:
-        print(f"ashpath: {verdict(contents)}", file=sys.stderr)
+        print(f"ashpath: {verification_summary(contents)}", file=sys.stderr)
 
 
 def format_count(value: object) -> str:
--- a/ashpath/server/storage/detached_endpoints.py
+++ b/ashpath/server/storage/detached_endpoints.py
@@ -18,7 +18,7 @@
 from ashpath.server.storage.atomic_file import replace_shared_file
 from ashpath.server.storage.errors import DetachedEndpointsError
 from ashpath.server.storage.file_lock import FileLock
-from ashpath.server.storage.versioned_file import UNREADABLE, VersionedFile
+from ashpath.server.storage.versioned_file import READ_ERRORS, VersionedFile
 
 FILE_NAME = "held-endpoints"
 VERSION = 1
@@ -45,7 +45,7 @@
             return set(rows[:MAX_ENDPOINTS])
         except FileNotFoundError:
             return set()
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             self._logger.error(  # noqa: TRY400 - one line is enough
                 "detached endpoints not read, none are detached", file=str(self._file.path), error=str(error)
             )
@@ -53,7 +53,7 @@
 
     def _check(self, rows: list[object]) -> None:
         if not all(isinstance(endpoint_id, str) for endpoint_id in rows):
-            raise self._file.foreign()
+            raise self._file.foreign_file_error()
 
     def change(self, endpoint_id: str, *, detached: bool) -> None:
         """One endpoint more or fewer, in what the file says by now.
--- a/ashpath/server/storage/file_lock.py
+++ b/ashpath/server/storage/file_lock.py
@@ -35,7 +35,7 @@
         os.close(self.descriptor)
 
 
-def acquired(path: Path) -> FileLock | None:
+def try_acquire(path: Path) -> FileLock | None:
     """The lock, held; None where another holds it. Raises OSError where the file cannot be opened."""
     lock = FileLock(path)
     if lock.acquire():
--- a/ashpath/server/storage/log_directory.py
+++ b/ashpath/server/storage/log_directory.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from ashpath.server.storage.errors import LogLockedError
-from ashpath.server.storage.file_lock import FileLock, acquired
+from ashpath.server.storage.file_lock import FileLock, try_acquire
 from ashpath.server.storage.log_file import TEMPORARY_SUFFIX, temporary_path
 
 FIRST_LOG = "journal"  # the log of a process that found no other alive
@@ -44,7 +44,7 @@
         self.path.mkdir(parents=True, exist_ok=True)
         for name in (FIRST_LOG, f"{FIRST_LOG}-{os.getpid()}"):
             path = self.path / name
-            lock = acquired(_lock_path(path))
+            lock = try_acquire(_lock_path(path))
             if lock is not None:
                 return LockedLog(path, lock)
         raise LogLockedError(self.path, os.getpid())
@@ -53,7 +53,7 @@
         """Logs of processes that are gone; the caller releases each lock before it asks for the next."""
         for path in sorted(self.path.iterdir()):
             if path.name != own.name and LOG_NAME.fullmatch(path.name):
-                lock = acquired(_lock_path(path))
+                lock = try_acquire(_lock_path(path))
                 if lock is not None:
                     yield LockedLog(path, lock)
 
--- a/ashpath/server/storage/log_file.py
+++ b/ashpath/server/storage/log_file.py
@@ -24,7 +24,7 @@
 from ashpath.server.storage.errors import LogNotOpenError, PartialWriteError
 
 TEMPORARY_SUFFIX = ".new"
-PIECE_BYTES = 256 << 10  # of a rewrite, at once
+CHUNK_BYTES = 256 << 10  # of a rewrite, at once
 
 
 def temporary_path(path: Path) -> Path:
@@ -83,20 +83,20 @@
 def write_all(descriptor: int, records: Iterable[bytes]) -> int:
     """Bytes written. Raises OSError, PartialWriteError among them."""
     written = 0
-    piece = bytearray()
+    chunk = bytearray()
     for record in records:
-        piece += record
-        if len(piece) >= PIECE_BYTES:
-            written += write_piece(descriptor, bytes(piece))
-            piece.clear()
-    return written + write_piece(descriptor, bytes(piece))
+        chunk += record
+        if len(chunk) >= CHUNK_BYTES:
+            written += write_chunk(descriptor, bytes(chunk))
+            chunk.clear()
+    return written + write_chunk(descriptor, bytes(chunk))
 
 
-def write_piece(descriptor: int, piece: bytes) -> int:
+def write_chunk(descriptor: int, chunk: bytes) -> int:
     """Bytes written. Raises OSError, PartialWriteError among them."""
-    if not piece:
+    if not chunk:
         return 0
-    written = os.write(descriptor, piece)
-    if written < len(piece):
-        raise PartialWriteError(written, len(piece))
+    written = os.write(descriptor, chunk)
+    if written < len(chunk):
+        raise PartialWriteError(written, len(chunk))
     return written
--- a/ashpath/server/storage/log_report.py
+++ b/ashpath/server/storage/log_report.py
@@ -36,7 +36,7 @@
     messages: LiveMessages = field(default_factory=LiveMessages)
     records: Counter[str] = field(default_factory=Counter)
     """How many there are of each kind, by its name on disk."""
-    sound_bytes: int = 0
+    valid_bytes: int = 0
     skipped_bytes: int = 0
     """The offset at which the whole records end."""
     fault: str = ""
@@ -67,7 +67,7 @@
             for record, size in reader:
                 contents.records[record.disk_name] += 1
                 contents.messages.apply(record, size)
-    contents.sound_bytes = reader.sound_bytes
+    contents.valid_bytes = reader.valid_bytes
     contents.fault = reader.fault
     contents.skipped_bytes = reader.skipped_bytes
     return contents
@@ -82,20 +82,20 @@
         return []
 
 
-def verdict(contents: LogContents) -> str:
+def verification_summary(contents: LogContents) -> str:
     """Whether every record is whole, in one line."""
     count = sum(contents.records.values())
     if not contents.fault:
         live = len(contents.messages.live)
-        return f"{contents.path}: sound: {count} records, {contents.sound_bytes} bytes, {live} live"
+        return f"{contents.path}: sound: {count} records, {contents.valid_bytes} bytes, {live} live"
     if contents.skipped_bytes:
         return (
-            f"{contents.path}: byte {contents.sound_bytes}: {contents.fault}; "
+            f"{contents.path}: byte {contents.valid_bytes}: {contents.fault}; "
             f"{contents.skipped_bytes} bytes are passed over, {count} records count"
         )
-    rest = contents.size - contents.sound_bytes
+    rest = contents.size - contents.valid_bytes
     return (
-        f"{contents.path}: byte {contents.sound_bytes}: {contents.fault}; "
+        f"{contents.path}: byte {contents.valid_bytes}: {contents.fault}; "
         f"the {count} records before it count, {rest} bytes from there do not"
     )
 
@@ -104,7 +104,7 @@
     """The same for programs."""
     return {
         "sound": not contents.fault,
-        "byte": contents.sound_bytes,
+        "byte": contents.valid_bytes,
         "size": contents.size,
         "fault": contents.fault,
     }
--- a/ashpath/server/storage/outage_store.py
+++ b/ashpath/server/storage/outage_store.py
@@ -24,7 +24,7 @@
 
 from ashpath.server.logs import Logger
 from ashpath.server.storage.atomic_file import replace_shared_file
-from ashpath.server.storage.versioned_file import UNREADABLE, VersionedFile
+from ashpath.server.storage.versioned_file import READ_ERRORS, VersionedFile
 from ashpath.server.timers import stored_time
 
 FILE_NAME = "outages"
@@ -72,7 +72,7 @@
                 self._add(Outage.of_row(row))
         except FileNotFoundError:
             pass
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             self.outages.clear()
             logger.error("outages not read, none are known", file=str(self._file.path), error=str(error))  # noqa: TRY400 - one line is enough
 
@@ -85,11 +85,11 @@
         if not self._in_outage(destination, endpoint):
             self._store(Outage(destination, endpoint, rate, None), stored_time())
 
-    def outage_ended(self, destination: int, endpoint: str, rate: float, ramp: int) -> None:
-        """It is in slow start, for `ramp` microseconds from now; nothing, if it was not in outage."""
+    def outage_ended(self, destination: int, endpoint: str, rate: float, slow_start_us: int) -> None:
+        """It is in slow start for `slow_start_us` microseconds from now; nothing if it was not in outage."""
         if self._in_outage(destination, endpoint):
             now = stored_time()
-            self._store(Outage(destination, endpoint, rate, now + ramp), now)
+            self._store(Outage(destination, endpoint, rate, now + slow_start_us), now)
 
     def _in_outage(self, destination: int, endpoint: str) -> bool:
         known = self.outages.get((destination, endpoint))
@@ -102,7 +102,7 @@
         if len(outage.endpoint) > MAX_ENDPOINT_CHARACTERS:
             return
         active = _active(self.outages.values(), now)
-        self.outages = {(one.destination, one.endpoint): one for one in active}
+        self.outages = {(entry.destination, entry.endpoint): entry for entry in active}
         self.outages.pop((outage.destination, outage.endpoint), None)  # it goes to the end
         self._add(outage)
         while len(self.outages) > MAX_OUTAGES:
--- a/ashpath/server/storage/outcome_file.py
+++ b/ashpath/server/storage/outcome_file.py
@@ -51,9 +51,9 @@
     def _rotate(self) -> None:
         with suppress(FileNotFoundError):  # moved already, and no new one could be made
             os.replace(self.path, self.previous_path)
-        full = self.descriptor
+        former = self.descriptor
         self._open()
-        os.close(full)
+        os.close(former)
 
     def close(self) -> None:
         """Nothing is left to be written: each line was, as it came."""
--- a/ashpath/server/storage/record_codec.py
+++ b/ashpath/server/storage/record_codec.py
@@ -159,14 +159,14 @@
     """All whole records of a log with the bytes that each takes, in order.
 
     Raises ForeignRecordError. Once iterated, `fault` says what was wrong with the first record that is not
-    whole, `sound_bytes` is the offset at which it stands (the end of the file, where there is none), and
+    whole, `valid_bytes` is the offset at which it stands (the end of the file, where there is none), and
     `skipped_bytes` counts what was passed over between records that are whole.
     """
 
     def __init__(self, file: BinaryIO) -> None:
         self.file = file
         self.offset = 0  # of the record that is read
-        self.sound_bytes = 0
+        self.valid_bytes = 0
         self.skipped_bytes = 0
         self.fault = ""
 
@@ -174,7 +174,7 @@
         while header := self.file.read(HEADER_BYTES):
             payload = self._read_payload(header)
             if payload is None:
-                if not self._pass_over():
+                if not self._skip_to_next_record():
                     return
                 continue
             line, body = payload.split(b"\n", 1)
@@ -186,7 +186,7 @@
             yield record, size
             self.offset += size
             if not self.fault:
-                self.sound_bytes = self.offset
+                self.valid_bytes = self.offset
 
     def _read_payload(self, header: bytes) -> bytes | None:
         """None, and `fault` says why, where the record is not whole."""
@@ -209,7 +209,7 @@
     def _note_fault(self, fault: str) -> None:
         self.fault = self.fault or fault
 
-    def _pass_over(self) -> bool:
+    def _skip_to_next_record(self) -> bool:
         """Goes on to the next whole record behind the one that is not; False where there is none."""
         self.file.seek(self.offset)
         rest = self.file.read()
@@ -231,7 +231,7 @@
     at = data.find(RECORD_START, HEADER_BYTES + 1)
     while at >= 0:
         offset = at - HEADER_BYTES
-        end = whole_records_end(data, offset)
+        end = valid_records_end(data, offset)
         if end == len(data):
             return offset
         if end > offset:
@@ -240,7 +240,7 @@
     return first
 
 
-def whole_records_end(data: bytes, offset: int) -> int:
+def valid_records_end(data: bytes, offset: int) -> int:
     """The end of the last whole record of those that begin at the offset."""
     while offset < len(data):
         size = int.from_bytes(data[offset : offset + 4], "big")
--- a/ashpath/server/storage/shared_memory.py
+++ b/ashpath/server/storage/shared_memory.py
@@ -32,14 +32,14 @@
     RetryAfterNotice,
     encode_header,
     encode_notice,
-    is_ours,
+    has_magic,
     read_counters,
     read_notices,
     record_slice,
 )
 
 MAX_PROCESSES = 3  # an old process, a new one, and one more that was killed and is not gone yet
-NOTHING_SEEN = bytes(COUNTERS.stop - COUNTERS.start)
+ZERO_COUNTERS = bytes(COUNTERS.stop - COUNTERS.start)
 
 
 class PublishedUpdates(Struct, frozen=True):
@@ -69,7 +69,7 @@
         for number in range(max_processes):
             with suppress(OSError):  # no disk: that file is not to be had
                 self._open(directory / f"board-{number}")
-        self._seen = [NOTHING_SEEN for _ in self._others]  # the others' counters at the last look
+        self._seen = [ZERO_COUNTERS for _ in self._others]  # the others' counters at the last look
         self._recovered: list[RetryAfterNotice] = []
         if self.own is not None:
             self._recover(self.own)
@@ -92,7 +92,7 @@
         received by this one and goes on to bind the others."""
         notices = read_notices(own)
         self._recovered = list(notices.values())
-        if is_ours(own):
+        if has_magic(own):
             self.counters = read_counters(own)
         else:
             own[:] = bytes(FILE_BYTES)
--- a/ashpath/server/storage/shared_memory_layout.py
+++ b/ashpath/server/storage/shared_memory_layout.py
@@ -75,7 +75,7 @@
     return crc32(fields).to_bytes(CHECKSUM_BYTES, "little") + fields
 
 
-def is_ours(memory: mmap) -> bool:
+def has_magic(memory: mmap) -> bool:
     """Whether a process has used it before."""
     return memory[: len(MAGIC)] == MAGIC
 
@@ -88,13 +88,13 @@
 
 def read_notices(memory: mmap) -> dict[int, RetryAfterNotice]:
     """The sound records by index; none of foreign memory."""
-    if not is_ours(memory):
+    if not has_magic(memory):
         return {}
-    found = {}
+    notices = {}
     rows = RECORD.iter_unpack(memory[HEADER.size : FILE_BYTES])
     for index, (checksum, end, destination, length, endpoint) in enumerate(rows):
         fields = RECORD.pack(0, end, destination, length, endpoint)[CHECKSUM_BYTES:]
         if end and checksum == crc32(fields):
             endpoint_id = endpoint[:length].decode("utf-8", "replace")
-            found[index] = RetryAfterNotice(destination, endpoint_id, end)
-    return found
+            notices[index] = RetryAfterNotice(destination, endpoint_id, end)
+    return notices
--- a/ashpath/server/storage/stored_clock.py
+++ b/ashpath/server/storage/stored_clock.py
@@ -25,7 +25,7 @@
 from ashpath.server import timers
 from ashpath.server.logs import Logger
 from ashpath.server.storage.atomic_file import replace_shared_file
-from ashpath.server.storage.versioned_file import UNREADABLE, VersionedFile
+from ashpath.server.storage.versioned_file import READ_ERRORS, VersionedFile
 
 FILE_NAME = "clock"
 VERSION = 1
@@ -89,7 +89,7 @@
     """None where there is none that can be read."""
     try:
         return ClockOffset.of_row(file.read_rows()[0])
-    except (*UNREADABLE, IndexError):
+    except (*READ_ERRORS, IndexError):
         return None
 
 
--- a/ashpath/server/storage/traffic_class_ids.py
+++ b/ashpath/server/storage/traffic_class_ids.py
@@ -41,7 +41,7 @@
 
     def _check(self, rows: list[object]) -> None:
         if not all(isinstance(row, dict) for row in rows):
-            raise self._file.foreign()
+            raise self._file.foreign_file_error()
 
     def write(self, traffic_classes: list[dict[str, Any]]) -> None:
         """Raises OSError: the file is then as it was."""
--- a/ashpath/server/storage/versioned_file.py
+++ b/ashpath/server/storage/versioned_file.py
@@ -9,7 +9,7 @@
 
 from ashpath.server.storage.errors import ForeignFileError
 
-UNREADABLE = (OSError, ValueError, KeyError, TypeError)  # what `read_rows` and a look at the rows may raise
+READ_ERRORS = (OSError, ValueError, KeyError, TypeError)  # what `read_rows` and a look at the rows may raise
 
 
 class VersionedFile:
@@ -25,11 +25,11 @@
     def read_rows(self) -> list[Any]:
         """The rows, of any JSON type: the caller checks them.
 
-        Raises FileNotFoundError; one of UNREADABLE, ForeignFileError among them.
+        Raises FileNotFoundError; one of READ_ERRORS, ForeignFileError among them.
         """
         content = orjson.loads(self.path.read_bytes())
         if content["version"] != self.version:
-            raise self.foreign()
+            raise self.foreign_file_error()
         rows: list[Any] = content[self.rows_name]
         return rows
 
@@ -37,6 +37,6 @@
         """The content of the file."""
         return orjson.dumps({"version": self.version, self.rows_name: rows})
 
-    def foreign(self) -> ForeignFileError:
+    def foreign_file_error(self) -> ForeignFileError:
         """For rows that this version does not write."""
         return ForeignFileError(self.contents)
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -40,7 +40,7 @@
 )
 from ashpath.server.storage.stored_message import StoredMessage
 
-NO_EFFECT = MessageFinished(0, None).encode()  # no message has this id
+NO_OP_RECORD = MessageFinished(0, None).encode()  # no message has this id
 REWRITE_FACTOR = 2.1  # the old and the new file fit beside each other, and a twentieth is left to append to
 
 
@@ -98,14 +98,14 @@
     def _adopt_log(self, path: Path) -> list[StoredMessage]:
         """Of one orphan, whose lock is held; none where it cannot be read, or this log not be written: then
         it is tried again."""
-        left = LiveMessages()
+        orphaned = LiveMessages()
         try:
             if path not in self._copied:
                 with path.open("rb") as file:
-                    left.read(RecordReader(file))
+                    orphaned.read(RecordReader(file))
         except (OSError, ForeignRecordError):
             return []
-        adopted = self._adopt_messages(left)
+        adopted = self._adopt_messages(orphaned)
         try:
             self._rewrite()
         except OSError:
@@ -118,9 +118,9 @@
             self._copied.discard(path)
         return adopted
 
-    def _adopt_messages(self, left: LiveMessages) -> list[StoredMessage]:
+    def _adopt_messages(self, orphaned: LiveMessages) -> list[StoredMessage]:
         adopted = []
-        for message in left.live.values():
+        for message in orphaned.live.values():
             if message.trace_id not in self.messages.by_trace_id:
                 message.message_id = self.messages.last_id + 1
                 self.messages.add(message, len(MessageSubmitted(message).encode()))
@@ -130,8 +130,8 @@
     def record_submitted(self, message: StoredMessage) -> bool:
         """False: there is no room for it, and nothing was written."""
         data = MessageSubmitted(message).encode()
-        wanted = self.messages.reserved_bytes + reserved_bytes(message, len(data))
-        if REWRITE_FACTOR * wanted > self.max_bytes - BLOCK_BYTES - self.other_logs_bytes:
+        needed = self.messages.reserved_bytes + reserved_bytes(message, len(data))
+        if REWRITE_FACTOR * needed > self.max_bytes - BLOCK_BYTES - self.other_logs_bytes:
             return False
         try:
             self._append(data)
@@ -174,7 +174,7 @@
         whose final state it has not taken elsewhere."""
         live = [MessageSubmitted(message).encode() for message in self.messages.live.values()]
         try:
-            self.file.rewrite([*live, NO_EFFECT])
+            self.file.rewrite([*live, NO_OP_RECORD])
         except OSError:
             return False
         self.incomplete = False
--- a/benchmarks/write_ahead_log.py
+++ b/benchmarks/write_ahead_log.py
@@ -67,7 +67,7 @@
     found = read_log(log_path(folder))
     took = time.perf_counter() - began
     whole = ends[bisect_right(ends, cut) - 1]
-    is_right = found.sound_bytes == whole and bool(found.fault) == (cut != whole)
+    is_right = found.valid_bytes == whole and bool(found.fault) == (cut != whole)
     return CutReport(is_right, took)
 
 
--- a/tests/server/storage/test_record_codec.py
+++ b/tests/server/storage/test_record_codec.py
@@ -16,7 +16,7 @@
     for n in range(40)
 ]
 DATA = b"".join(RECORDS)
-ENDS = [sum(map(len, RECORDS[:n])) for n in range(len(RECORDS) + 1)]  # offsets between records
+RECORD_ENDS = [sum(map(len, RECORDS[:n])) for n in range(len(RECORDS) + 1)]  # offsets between records
 
 
 def read(path: Path) -> tuple[int, RecordReader]:
@@ -26,48 +26,48 @@
         return len(list(reader)), reader
 
 
-def test_a_log_that_is_cut_counts_up_to_its_last_whole_record(tmp_path: Path) -> None:
+def test_truncated_log_is_read_up_to_last_whole_record(tmp_path: Path) -> None:
     """Cut at each byte: the first torn record's offset is named."""
     path = tmp_path / "journal"
     for cut in range(len(DATA)):
         path.write_bytes(DATA[:cut])
         count, reader = read(path)
-        whole = max(end for end in ENDS if end <= cut)
-        assert reader.sound_bytes == whole
-        assert count == ENDS.index(whole)
+        whole = max(end for end in RECORD_ENDS if end <= cut)
+        assert reader.valid_bytes == whole
+        assert count == RECORD_ENDS.index(whole)
         assert bool(reader.fault) == (cut != whole)
 
 
 @pytest.mark.parametrize(("offset", "byte"), [(3, b"\xff"), (6, b"\x00"), (12, b"~")])
-def test_a_spoilt_byte_is_named_and_its_record_passed_over(tmp_path: Path, offset: int, byte: bytes) -> None:
+def test_corrupt_record_is_reported_and_skipped(tmp_path: Path, offset: int, byte: bytes) -> None:
     """In the length, the checksum and the line of JSON; the records behind it count."""
-    at = ENDS[9] + offset
+    at = RECORD_ENDS[9] + offset
     (tmp_path / "journal").write_bytes(DATA[:at] + byte + DATA[at + 1 :])
     count, reader = read(tmp_path / "journal")
-    assert count == len(ENDS) - 2
-    assert reader.sound_bytes == ENDS[9]
-    assert reader.skipped_bytes == ENDS[10] - ENDS[9]
+    assert count == len(RECORD_ENDS) - 2
+    assert reader.valid_bytes == RECORD_ENDS[9]
+    assert reader.skipped_bytes == RECORD_ENDS[10] - RECORD_ENDS[9]
     assert reader.fault
 
 
-def test_records_behind_a_torn_one_count_at_each_cut(tmp_path: Path) -> None:
+def test_records_after_torn_record_are_read(tmp_path: Path) -> None:
     """As a write that was cut short leaves it, with others behind."""
     path = tmp_path / "journal"
-    for cut in range(ENDS[4] + 1, ENDS[5]):
-        path.write_bytes(DATA[:cut] + DATA[ENDS[5] :])
+    for cut in range(RECORD_ENDS[4] + 1, RECORD_ENDS[5]):
+        path.write_bytes(DATA[:cut] + DATA[RECORD_ENDS[5] :])
         count, reader = read(path)
-        assert count == len(ENDS) - 2, cut
-        assert reader.skipped_bytes == cut - ENDS[4]
+        assert count == len(RECORD_ENDS) - 2, cut
+        assert reader.skipped_bytes == cut - RECORD_ENDS[4]
 
 
-def test_a_record_within_the_body_of_a_torn_one_is_none(tmp_path: Path) -> None:
+def test_record_bytes_in_body_of_torn_record_are_not_read(tmp_path: Path) -> None:
     """Guards messages against a client whose body has the bytes of a record."""
     forged = MessageFinished(1, None).encode()
     torn = MessageSubmitted(StoredMessage(9, "t9", 0, 1, None, None, 7, forged + b"rest")).encode()
     path = tmp_path / "journal"
-    path.write_bytes(DATA[: ENDS[1]] + torn[:-2] + DATA[ENDS[1] :])
+    path.write_bytes(DATA[: RECORD_ENDS[1]] + torn[:-2] + DATA[RECORD_ENDS[1] :])
     count, _ = read(path)
-    assert count == len(ENDS) - 1
+    assert count == len(RECORD_ENDS) - 1
 
 
 def test_a_log_of_another_version_is_refused_and_kept(tmp_path: Path) -> None:
