--- a/tests/server/storage/test_detached_endpoints.py
+++ b/tests/server/storage/test_detached_endpoints.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("content", UNREADABLE)
-def test_a_file_that_cannot_be_read_detaches_nothing(tmp_path: Path, content: bytes) -> None:
+def test_unreadable_file_counts_as_no_detached_endpoint(tmp_path: Path, content: bytes) -> None:
     log = RecordingLogger()
     (tmp_path / FILE_NAME).write_bytes(content)
     assert DetachedEndpoints(tmp_path, log.logger).read() == set()
--- a/tests/server/storage/test_failing_disk.py
+++ b/tests/server/storage/test_failing_disk.py
@@ -23,7 +23,7 @@
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
-DISK = 1 << 20  # bytes
+MAX_LOG_BYTES = 1 << 20  # bytes
 CALLS = 12  # of one kind, each of which is the first to fail in turn
 
 
@@ -33,17 +33,17 @@
     def __init__(self, name: str, error: str, first: int, count: int) -> None:
         self.name = name
         self.error = error
-        self.left_before = first
-        self.left_to_fail = count
+        self.calls_before_failure = first
+        self.calls_to_fail = count
 
     def wrap(self, real: Callable[[Any, Any], object]) -> Callable[[Any, Any], object]:
         def call(target: int | Path, argument: bytes | int | Path) -> object:
-            if self.left_before:
-                self.left_before -= 1
+            if self.calls_before_failure:
+                self.calls_before_failure -= 1
                 return real(target, argument)
-            if not self.left_to_fail:
+            if not self.calls_to_fail:
                 return real(target, argument)
-            self.left_to_fail -= 1
+            self.calls_to_fail -= 1
             if self.error == "short" and isinstance(argument, bytes):
                 return real(target, argument[: len(argument) // 2])
             raise OSError(getattr(errno, self.error), "injected")
@@ -52,7 +52,7 @@
 
 
 @contextmanager
-def failing(*disks: FailingDisk) -> Iterator[None]:
+def failing_calls(*disks: FailingDisk) -> Iterator[None]:
     with pytest.MonkeyPatch.context() as patch:
         for disk in disks:
             patch.setattr(os, disk.name, disk.wrap(getattr(os, disk.name)))
@@ -63,7 +63,7 @@
     return StoredMessage(number, f"t{number}", 0, 1, None, None, 2**60, b"body \x00 %d" % number)
 
 
-def work(log: WriteAheadLog) -> tuple[set[str], set[str]]:
+def process_messages(log: WriteAheadLog) -> tuple[set[str], set[str]]:
     """Submits, starts attempts and finishes messages; who was accepted, and who is finished."""
     accepted: set[str] = set()
     finished: set[str] = set()
@@ -81,15 +81,15 @@
     return accepted, finished
 
 
-def owed(log: WriteAheadLog, folder: Path) -> dict[str, tuple[int, bool]]:
+def messages_after_kill(log: WriteAheadLog, folder: Path) -> dict[str, tuple[int, bool]]:
     """What the next incarnation would find after a kill in this moment: attempts, and whether it may have
     run."""
     copy = folder / "copy"
     copy.write_bytes(log.file.path.read_bytes())
-    left = LiveMessages()
+    recovered = LiveMessages()
     with copy.open("rb") as file:
-        left.read(RecordReader(file))
-    return {one.trace_id: (one.attempts, one.first_run_at is not None) for one in left.live.values()}
+        recovered.read(RecordReader(file))
+    return {one.trace_id: (one.attempts, one.first_run_at is not None) for one in recovered.live.values()}
 
 
 FAULTS: dict[str, list[tuple[str, str]]] = {
@@ -101,41 +101,41 @@
 }
 
 
-def faults_of(name: str, first: int, count: int, folder: Path) -> str:
+def violation(name: str, first: int, count: int, folder: Path) -> str:
     """What was wrong with one order of failing calls."""
     folder.mkdir()
     disks = [FailingDisk(call, error, first if call == "write" else 0, count) for call, error in FAULTS[name]]
-    log = WriteAheadLog(folder, DISK)
-    with failing(*disks):
-        accepted, finished = work(log)
-        lost = accepted - finished - set(owed(log, folder))
+    log = WriteAheadLog(folder, MAX_LOG_BYTES)
+    with failing_calls(*disks):
+        accepted, finished = process_messages(log)
+        lost = accepted - finished - set(messages_after_kill(log, folder))
     log.repair()  # the disk takes writes again
-    after = set(owed(log, folder))
+    after = set(messages_after_kill(log, folder))
     log.close()
     if lost:
         return f"lost: {sorted(lost)}"
     return "" if after == accepted - finished else f"after repair: {sorted(after)}"
 
 
-def test_what_was_accepted_is_owed_whatever_fails(tmp_path: Path) -> None:
+def test_accepted_messages_survive_any_write_failure(tmp_path: Path) -> None:
     """Each kind of fault, beginning at each call in turn, for one call, three, and until the repair."""
     faults = {}
     for name in FAULTS:
         for first in range(CALLS):
             for count in (1, 3, 1000):
-                fault = faults_of(name, first, count, tmp_path / f"{name}-{first}-{count}")
+                fault = violation(name, first, count, tmp_path / f"{name}-{first}-{count}")
                 if fault:
                     faults[name, first, count] = fault
     assert faults == {}
 
 
-def test_a_start_on_a_disk_that_takes_nothing_keeps_what_is_owed(tmp_path: Path) -> None:
+def test_start_on_full_disk_keeps_live_messages(tmp_path: Path) -> None:
     """It runs on, accepts nothing, and is whole once the disk takes writes again."""
-    log = WriteAheadLog(tmp_path, DISK)
-    accepted, finished = work(log)
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    accepted, finished = process_messages(log)
     log.close()
-    with failing(FailingDisk("replace", "ENOSPC", 0, 1000)):
-        log = WriteAheadLog(tmp_path, DISK)
+    with failing_calls(FailingDisk("replace", "ENOSPC", 0, 1000)):
+        log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
         assert set(log.messages.by_trace_id) == accepted - finished
         assert log.needs_repair
         assert not log.record_submitted(message(20))
@@ -147,13 +147,13 @@
     log.close()
 
 
-def test_an_orphan_whose_adoption_fails_is_adopted_later(tmp_path: Path) -> None:
+def test_orphan_log_is_adopted_after_failed_adoption(tmp_path: Path) -> None:
     """Its lock is free meanwhile, nothing of it is lost, and it is adopted once."""
-    old = WriteAheadLog(tmp_path, DISK)
-    new = WriteAheadLog(tmp_path, DISK)
-    accepted, finished = work(old)
+    old = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    new = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    accepted, finished = process_messages(old)
     old.close()
-    with failing(FailingDisk("replace", "EIO", 0, 1)):
+    with failing_calls(FailingDisk("replace", "EIO", 0, 1)):
         assert new.adopt() == []
     assert not new.messages.live
     assert {one.trace_id for one in new.adopt()} == accepted - finished
@@ -161,13 +161,13 @@
     new.close()
 
 
-def test_an_orphan_that_cannot_be_emptied_is_adopted_once(tmp_path: Path) -> None:
+def test_orphan_log_that_cannot_be_emptied_is_adopted_once(tmp_path: Path) -> None:
     """Also where its messages are finished before it is empty."""
-    old = WriteAheadLog(tmp_path, DISK)
-    new = WriteAheadLog(tmp_path, DISK)
+    old = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    new = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     assert old.record_submitted(message(1))
     old.close()
-    with failing(FailingDisk("replace", "EIO", 1, 1)):  # the second renames the emptied one
+    with failing_calls(FailingDisk("replace", "EIO", 1, 1)):  # the second renames the emptied one
         (adopted,) = new.adopt()
         new.record_finished(adopted)
     assert new.adopt() == []
@@ -175,13 +175,13 @@
     new.close()
 
 
-def test_the_repairer_says_once_that_the_log_is_behind(tmp_path: Path) -> None:
-    log = WriteAheadLog(tmp_path, DISK)
+def test_repairer_logs_incomplete_log_once(tmp_path: Path) -> None:
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     assert log.record_submitted(message(1))
     assert log.record_submitted(message(2))
     logger = Mock()
     repairer = LogRepairer(log, 0.25, logger)
-    with failing(FailingDisk("write", "EIO", 0, 1000)):
+    with failing_calls(FailingDisk("write", "EIO", 0, 1000)):
         log.record_finished(log.messages.live[1])
         repairer.repair_if_behind()
         repairer.repair_if_behind()
@@ -191,5 +191,5 @@
         "write-ahead log behind",
         "write-ahead log whole again",
     ]
-    assert set(owed(log, tmp_path)) == {"t2"}
+    assert set(messages_after_kill(log, tmp_path)) == {"t2"}
     log.close()
--- a/tests/server/storage/test_live_messages.py
+++ b/tests/server/storage/test_live_messages.py
@@ -42,7 +42,7 @@
     assert message.in_flight_endpoint == "e1"
 
 
-def test_an_attempt_that_cannot_have_run_leaves_its_count_alone() -> None:
+def test_attempt_that_cannot_have_run_leaves_only_its_count() -> None:
     message = table(submitted(), AttemptStarted(1, 77, "e1"), AttemptFinished(1, False)).live[1]
     assert message.attempts == 1
     assert message.in_flight_since is None
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("before", [[], [MessageFinished(1, "notice")]])
-def test_a_finished_message_without_a_notice_leaves(before: list[Record]) -> None:
+def test_finished_message_without_notice_is_removed(before: list[Record]) -> None:
     messages = table(submitted(), *before, MessageFinished(1, None))
     assert not messages.live
     assert not messages.by_trace_id
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize(
     "record", [AttemptStarted(2, 77, "e1"), AttemptFinished(2, True), MessageFinished(2, "notice")]
 )
-def test_a_record_of_a_message_that_is_not_live_does_nothing(record: Record) -> None:
+def test_record_of_message_that_is_not_live_is_ignored(record: Record) -> None:
     messages = table(submitted(), record)
     assert list(messages.live) == [1]
     assert messages.live[1].attempts == 0
--- a/tests/server/storage/test_outage_store.py
+++ b/tests/server/storage/test_outage_store.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("content", UNREADABLE)
-def test_a_file_that_cannot_be_read_is_no_outage(tmp_path: Path, content: bytes) -> None:
+def test_unreadable_file_counts_as_no_outage(tmp_path: Path, content: bytes) -> None:
     """A torn or foreign file, and said."""
     log = RecordingLogger()
     (tmp_path / "outages").write_bytes(content)
@@ -48,7 +48,7 @@
     assert log.events == ["outages not read, none are known"]
 
 
-def test_the_file_does_not_grow_with_destinations(tmp_path: Path) -> None:
+def test_outage_file_size_is_bounded_for_many_destinations(tmp_path: Path) -> None:
     store = OutageStore(tmp_path, RecordingLogger().logger)
     for number in range(500):
         store.outage_began(number, "e" * MAX_ENDPOINT_CHARACTERS, 1.0)
@@ -58,7 +58,7 @@
     assert store.active()[-1].destination == 499
 
 
-def test_a_full_disk_is_said_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_outage_writes_are_logged_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     log = RecordingLogger()
     store = OutageStore(tmp_path, log.logger)
     store.outage_began(1, "", 1.0)
--- a/tests/server/storage/test_outcome_store.py
+++ b/tests/server/storage/test_outcome_store.py
@@ -19,12 +19,12 @@
     return OutcomeStore(directory, MAX_BYTES, RETENTION_US, no_errors())
 
 
-def fill(store: OutcomeStore) -> None:
+def add_outcomes(store: OutcomeStore) -> None:
     for number in range(500):
         store.add(f"e{number}", FinalState.DELIVERED)
 
 
-def test_memory_and_disk_are_bounded(tmp_path: Path) -> None:
+def test_outcome_store_bounds_memory_and_disk(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     for number in range(500):
         store.add(f"e{number}", FinalState.DELIVERED)
@@ -36,7 +36,7 @@
 
 def test_a_torn_line_does_not_swallow_the_next_one(tmp_path: Path) -> None:
     store = open_store(tmp_path)
-    fill(store)
+    add_outcomes(store)
     with (tmp_path / "ends").open("ab") as file:
         file.write(b'["torn","comp')
     store.close()
@@ -49,7 +49,7 @@
     assert not store.get("torn")
 
 
-def test_a_full_disk_is_said_once_and_its_lines_are_written_later(
+def test_failed_outcome_writes_are_logged_once_and_retried(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     log = RecordingLogger()
@@ -70,7 +70,7 @@
     assert again.trace_ids() == ["unwritten", "unwritten2"]
 
 
-def test_a_final_state_is_forgotten_after_its_time(tmp_path: Path) -> None:
+def test_final_state_is_forgotten_after_retention_time(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     store.add("next", FinalState.REJECTED, 500)
     assert store.get("next")
--- a/tests/server/storage/test_shared_memory.py
+++ b/tests/server/storage/test_shared_memory.py
@@ -11,7 +11,7 @@
 from ashpath.server.storage.shared_memory import PublishedUpdates, SharedMemory
 from ashpath.server.storage.shared_memory_layout import HEADER, MAX_NOTICES, RetryAfterNotice
 
-NONE = PublishedUpdates([], detached_changed=False)
+NO_UPDATES = PublishedUpdates([], detached_changed=False)
 
 
 class Processes:
@@ -42,7 +42,7 @@
     assert not processes.new.changed()
 
 
-def test_a_notice_binds_the_other_process_at_its_next_look(processes: Processes) -> None:
+def test_notice_reaches_other_process_at_its_next_check(processes: Processes) -> None:
     """Guards Retry-After received by one process of a hot upgrade: the other is bound at once."""
     processes.old.publish_retry_after(7, "x1", 5_000_000)
     assert processes.new.changed()
@@ -52,7 +52,7 @@
     assert not processes.old.changed()
 
 
-def test_a_shorter_notice_is_nothing_new(processes: Processes) -> None:
+def test_notice_with_earlier_end_is_not_published(processes: Processes) -> None:
     processes.old.publish_retry_after(7, "x1", 5_000_000)
     processes.new.updates(1_000_000)
     processes.old.publish_retry_after(7, "x1", 4_000_000)
@@ -67,20 +67,20 @@
     assert processes.late.updates(5_500_000).notices == [notice]  # the other one is over
 
 
-def test_a_change_of_detached_endpoints_is_seen_once(processes: Processes) -> None:
+def test_change_of_detached_endpoints_is_reported_once(processes: Processes) -> None:
     processes.old.publish_detached_change()
     assert processes.new.updates(0).detached_changed
     assert not processes.new.updates(0).detached_changed
 
 
-def fill(memory: SharedMemory) -> None:
+def fill_with_notices(memory: SharedMemory) -> None:
     for number in range(MAX_NOTICES + 5):
         memory.publish_retry_after(number, "y", 10_000_000 + number)
 
 
 def test_full_memory_drops_the_notices_that_end_first(processes: Processes) -> None:
     processes.old.publish_retry_after(7, "x1", 5_000_000)
-    fill(processes.old)
+    fill_with_notices(processes.old)
     notices = processes.new.updates(0).notices
     assert len(notices) == MAX_NOTICES
     assert {notice.end - 10_000_000 for notice in notices} == set(range(5, MAX_NOTICES + 5))
@@ -92,15 +92,15 @@
     memory.publish_detached_change()
 
 
-def test_a_torn_record_binds_nobody(processes: Processes) -> None:
-    fill(processes.old)
+def test_record_with_wrong_checksum_is_ignored(processes: Processes) -> None:
+    fill_with_notices(processes.old)
     tear_first_record(processes.old)
     assert len(processes.new.updates(0).notices) == MAX_NOTICES - 1
 
 
-def test_a_process_takes_over_memory_and_what_it_has(processes: Processes) -> None:
+def test_new_process_recovers_notices_of_killed_process(processes: Processes) -> None:
     """As after a SIGKILL: nothing is written at the end."""
-    fill(processes.old)
+    fill_with_notices(processes.old)
     tear_first_record(processes.old)
     processes.old.close()
     again = SharedMemory(processes.directory)
@@ -113,7 +113,7 @@
 
 def test_foreign_memory_has_no_notices(tmp_path: Path) -> None:
     (tmp_path / "board-0").write_bytes(b"foreign" * 5000)
-    assert SharedMemory(tmp_path, 1).updates(0) == NONE
+    assert SharedMemory(tmp_path, 1).updates(0) == NO_UPDATES
 
 
 def test_a_full_disk_leaves_a_process_without_memory_of_its_own(
@@ -128,4 +128,4 @@
     memory = SharedMemory(tmp_path)
     memory.publish_retry_after(1, "a", 9)
     assert memory.own is None
-    assert memory.updates(0) == NONE
+    assert memory.updates(0) == NO_UPDATES
--- a/tests/server/storage/test_state_directory.py
+++ b/tests/server/storage/test_state_directory.py
@@ -22,7 +22,7 @@
     "os.truncate": os.truncate,
     "pathlib.Path.write_bytes": Path.write_bytes,
 }
-WRITES_OF_A_START = 5
+STARTUP_WRITES = 5
 
 
 class CrashingWrites:
@@ -42,7 +42,7 @@
         return call
 
 
-def left_by_a_sender(path: Path) -> None:
+def write_earlier_state(path: Path) -> None:
     """One traffic class, and a message in the log."""
     directory = StateDirectory(path, "n0")
     directory.write(CLASSES[:1])
@@ -52,7 +52,7 @@
     directory.close()
 
 
-def start(path: Path) -> None:
+def run_startup(path: Path) -> None:
     """As far as the state directory goes, with a traffic class more."""
     directory = StateDirectory(path, "n0")
     try:
@@ -62,29 +62,29 @@
         directory.close()
 
 
-@pytest.mark.parametrize("crash_at", range(1, WRITES_OF_A_START + 4))
-def test_a_crash_at_each_write_of_a_start(
+@pytest.mark.parametrize("crash_at", range(1, STARTUP_WRITES + 4))
+def test_crash_at_any_startup_write_keeps_messages_and_imprint(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, crash_at: int
 ) -> None:
     """The message is there after each, and the imprint is the old one or the new."""
-    left_by_a_sender(tmp_path)
+    write_earlier_state(tmp_path)
     writes = CrashingWrites(crash_at)
     crashed = False
     with monkeypatch.context() as patch:
         for name, write in WRITES.items():
             patch.setattr(name, writes.wrapped(write))
         try:
-            start(tmp_path)
+            run_startup(tmp_path)
         except KeyboardInterrupt:
             crashed = True
-    assert crashed == (crash_at <= WRITES_OF_A_START)
+    assert crashed == (crash_at <= STARTUP_WRITES)
     again = StateDirectory(tmp_path, "n0")
     assert again.live_messages() == 1
     assert [row["name"] for row in again.traffic_classes] in (["a"], ["a", "b"])
     again.close()
 
 
-def test_two_senders_at_once(tmp_path: Path) -> None:
+def test_second_sender_on_same_directory_is_refused(tmp_path: Path) -> None:
     first = StateDirectory(tmp_path, "n0")
     first.write([])
     with pytest.raises(StateDirectoryError, match=f"process {os.getpid()}"):
--- a/tests/server/storage/test_stored_clock.py
+++ b/tests/server/storage/test_stored_clock.py
@@ -20,24 +20,24 @@
 
 
 @pytest.fixture(autouse=True)
-def offset() -> Iterator[None]:
+def restore_offset() -> Iterator[None]:
     before = timers.stored_time() - timers.now()
     yield
     timers.settle_offset(before)
 
 
-def step(monkeypatch: pytest.MonkeyPatch, by_us: int) -> None:
+def step_wall_clock(monkeypatch: pytest.MonkeyPatch, by_us: int) -> None:
     real = timers.wall_clock
     monkeypatch.setattr(timers, "wall_clock", lambda: real() + by_us)
 
 
 @pytest.mark.parametrize("by_us", [HOUR_US, -HOUR_US])
-def test_a_step_within_a_boot_changes_nothing(
+def test_wall_clock_step_within_boot_leaves_stored_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, by_us: int
 ) -> None:
     assert settle_stored_clock(tmp_path, Mock()) is ClockOrigin.NEW
     before = timers.stored_time()
-    step(monkeypatch, by_us)
+    step_wall_clock(monkeypatch, by_us)
     assert settle_stored_clock(tmp_path, Mock()) is ClockOrigin.SAME_BOOT
     assert 0 <= timers.stored_time() - before < 5_000_000
 
@@ -53,7 +53,7 @@
         (b'{"version":1,"boots":[["BOOT",5,99000000000000000]]}', ClockOrigin.OTHER_BOOT),
     ],
 )
-def test_what_is_not_of_this_boot_is_settled_anew(
+def test_offset_not_of_this_boot_is_taken_from_wall_clock(
     tmp_path: Path, content: bytes, origin: ClockOrigin
 ) -> None:
     """Also where the monotonic clock is behind the time in the file."""
@@ -63,7 +63,7 @@
     assert settle_stored_clock(tmp_path, Mock()) is ClockOrigin.SAME_BOOT
 
 
-def test_a_disk_that_takes_nothing_stops_no_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_clock_write_does_not_stop_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> None:
         raise OSError(28, "No space left on device")
 
--- a/tests/server/storage/test_stored_data.py
+++ b/tests/server/storage/test_stored_data.py
@@ -7,7 +7,7 @@
 
 import pytest
 from support.loggers import no_errors
-from support.stored_data import DISK, FAR, STORED, THEN, copy_of
+from support.stored_data import FUTURE, MAX_LOG_BYTES, PAST, STORED, copy_of
 
 from ashpath.cli.standalone_deployment import FileConfiguration
 from ashpath.server.storage.detached_endpoints import DetachedEndpoints
@@ -23,12 +23,12 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
 ALL_BYTES = bytes(range(256))
-LARGEST = (1 << 48) - 1  # of an order key
+MAX_KEY = (1 << 48) - 1  # of an order key
 
 
 def messages_of(name: str, directory: Path) -> list[StoredMessage]:
     """The live messages, in their order, as a process finds them at its start."""
-    log = WriteAheadLog(copy_of(name, directory), DISK)
+    log = WriteAheadLog(copy_of(name, directory), MAX_LOG_BYTES)
     log.close()
     return list(log.messages.live.values())
 
@@ -57,47 +57,62 @@
 # Of each message: id, trace id, traffic class, destination, ordering key, idempotency key; deadline, body,
 # attempts; start and endpoint of the first attempt that may have run, and of the one in flight; the notice
 # that is owed, and whether it is finished.
-NEVER = (None, "", None, "")
-BOTH = (THEN + 5, "e6", THEN + 6, "e6-ü")
+UNTRIED = (None, "", None, "")
+RAN_AND_IN_FLIGHT = (PAST + 5, "e6", PAST + 6, "e6-ü")
 LIVE = (None, False)
 OWED = '{"id":"p-owed","status":"undeliverable"}'
 DEFERRED = '{"id":"p-deferred","status":"deferred","again_ms":500}'
 MESSAGES: dict[str, list[tuple[Any, ...]]] = {
     "platform": [
-        ((1, "p-waiting", 0, 1, None, None), (FAR + 1, b"200", 0), NEVER, LIVE),
-        ((2, "p-tried", 1, 2, 7, "tag-2"), (FAR + 2, b"200", 2), (THEN + 30, "e2-b", None, ""), LIVE),
-        ((3, "p-ran", 0, 4, None, None), (FAR + 3, b"200", 2), (THEN + 2, "e4", None, ""), LIVE),
-        ((4, "p-out", 2, 5, None, None), (FAR + 4, b"200", 1), (None, "", THEN + 4, "e5"), LIVE),
-        ((5, "p-ran-and-out", 0, 6, None, None), (FAR + 5, b"200", 2), BOTH, LIVE),
-        ((6, "p-owed", 2, 8, None, None), (FAR + 6, b"500", 1), (THEN + 7, "e8", None, ""), (OWED, True)),
-        ((8, "p-bytes", 1, 3, 0, 'tag "quoted" \\'), (FAR + 8, ALL_BYTES, 0), NEVER, LIVE),
-        ((9, "p-empty", 1, 3, 0, None), (FAR + 9, b"", 0), NEVER, LIVE),
-        ((10, "p-deferred", 0, 1, None, None), (FAR + 10, b"200", 0), NEVER, (DEFERRED, True)),
+        ((1, "p-waiting", 0, 1, None, None), (FUTURE + 1, b"200", 0), UNTRIED, LIVE),
+        ((2, "p-tried", 1, 2, 7, "tag-2"), (FUTURE + 2, b"200", 2), (PAST + 30, "e2-b", None, ""), LIVE),
+        ((3, "p-ran", 0, 4, None, None), (FUTURE + 3, b"200", 2), (PAST + 2, "e4", None, ""), LIVE),
+        ((4, "p-out", 2, 5, None, None), (FUTURE + 4, b"200", 1), (None, "", PAST + 4, "e5"), LIVE),
+        ((5, "p-ran-and-out", 0, 6, None, None), (FUTURE + 5, b"200", 2), RAN_AND_IN_FLIGHT, LIVE),
+        ((6, "p-owed", 2, 8, None, None), (FUTURE + 6, b"500", 1), (PAST + 7, "e8", None, ""), (OWED, True)),
+        ((8, "p-bytes", 1, 3, 0, 'tag "quoted" \\'), (FUTURE + 8, ALL_BYTES, 0), UNTRIED, LIVE),
+        ((9, "p-empty", 1, 3, 0, None), (FUTURE + 9, b"", 0), UNTRIED, LIVE),
+        ((10, "p-deferred", 0, 1, None, None), (FUTURE + 10, b"200", 0), UNTRIED, (DEFERRED, True)),
         # Adopted from the process that is gone; the ids are those of this process, behind its own.
-        ((12, "p-orphan-waiting", 1, 3, LARGEST, "tag-orphan"), (FAR + 1, "hé".encode(), 0), NEVER, LIVE),
-        ((13, "p-orphan-out", 2, 10, None, None), (FAR + 2, b"200", 1), (None, "", THEN + 20, "e10"), LIVE),
+        (
+            (12, "p-orphan-waiting", 1, 3, MAX_KEY, "tag-orphan"),
+            (FUTURE + 1, "hé".encode(), 0),
+            UNTRIED,
+            LIVE,
+        ),
+        (
+            (13, "p-orphan-out", 2, 10, None, None),
+            (FUTURE + 2, b"200", 1),
+            (None, "", PAST + 20, "e10"),
+            LIVE,
+        ),
     ],
     "standalone": [
-        ((1, "s-waiting", 0, 1, None, None), (FAR, b"body", 1), (None, "", THEN + 4, "127.0.0.1:8"), LIVE),
-        ((2, "s-ran", 1, 2, 7, "tag-2"), (FAR + 1, ALL_BYTES, 2), (THEN + 1, "127.0.0.1:9", None, ""), LIVE),
-        ((4, "s-owed", 2, 1, None, None), (FAR + 3, b"y", 0), NEVER, (OWED.replace("p-", "s-"), True)),
+        ((1, "s-waiting", 0, 1, None, None), (FUTURE, b"body", 1), (None, "", PAST + 4, "127.0.0.1:8"), LIVE),
+        (
+            (2, "s-ran", 1, 2, 7, "tag-2"),
+            (FUTURE + 1, ALL_BYTES, 2),
+            (PAST + 1, "127.0.0.1:9", None, ""),
+            LIVE,
+        ),
+        ((4, "s-owed", 2, 1, None, None), (FUTURE + 3, b"y", 0), UNTRIED, (OWED.replace("p-", "s-"), True)),
     ],
     "torn": [
-        ((1, "t-1", 0, 1, None, None), (FAR, b"body 1", 0), NEVER, LIVE),
-        ((2, "t-2", 0, 2, None, None), (FAR, b"body 2", 1), (None, "", THEN, "e2"), LIVE),
-        ((3, "t-3", 0, 3, None, None), (FAR, b"body 3", 0), NEVER, LIVE),
+        ((1, "t-1", 0, 1, None, None), (FUTURE, b"body 1", 0), UNTRIED, LIVE),
+        ((2, "t-2", 0, 2, None, None), (FUTURE, b"body 2", 1), (None, "", PAST, "e2"), LIVE),
+        ((3, "t-3", 0, 3, None, None), (FUTURE, b"body 3", 0), UNTRIED, LIVE),
     ],
 }
 INDEXES = [(name, index) for name, messages in MESSAGES.items() for index in range(len(messages))]
 
 
 @pytest.mark.parametrize(("name", "index"), INDEXES)
-def test_every_field_of_a_message(tmp_path: Path, name: str, index: int) -> None:
+def test_stored_message_is_read_with_every_field(tmp_path: Path, name: str, index: int) -> None:
     assert fields(messages_of(name, tmp_path)[index]) == MESSAGES[name][index]
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_messages_in_the_order_they_were_accepted(tmp_path: Path, name: str) -> None:
+def test_stored_messages_are_read_in_order_of_acceptance(tmp_path: Path, name: str) -> None:
     """Those that were delivered, and the second copy of one held twice, are not among them."""
     assert [message.trace_id for message in messages_of(name, tmp_path)] == [
         row[0][1] for row in MESSAGES[name]
@@ -105,9 +120,9 @@
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_the_same_messages_from_the_rewritten_log(tmp_path: Path, name: str) -> None:
+def test_rewritten_log_yields_the_same_messages(tmp_path: Path, name: str) -> None:
     before = messages_of(name, tmp_path)
-    again = WriteAheadLog(tmp_path / name, DISK)
+    again = WriteAheadLog(tmp_path / name, MAX_LOG_BYTES)
     again.close()
     assert [fields(message) for message in again.messages.live.values()] == [
         fields(message) for message in before
@@ -117,42 +132,42 @@
 def test_an_adopted_log_is_removed(tmp_path: Path) -> None:
     directory = copy_of("platform", tmp_path)
     assert len(list(directory.glob("journal-*"))) == 2  # the log of the process that is gone, and its lock
-    WriteAheadLog(directory, DISK).close()
+    WriteAheadLog(directory, MAX_LOG_BYTES).close()
     assert sorted(path.name for path in directory.glob("journal*")) == ["journal", "journal.lock"]
 
 
-AFTER_TWO_ATTEMPTS = ["ended", "shot", "outcome", "ended", "shot"]
+LAST_RECORDS = ["ended", "shot", "outcome", "ended", "shot"]
 RECORDS = {
     "platform": (["taken"] * 8 + ["shot", "outcome", "taken", "ended", "taken", "ended", "ended"], ""),
-    "standalone": (["taken"] * 4 + ["shot", "outcome"] * 2 + AFTER_TWO_ATTEMPTS, ""),
+    "standalone": (["taken"] * 4 + ["shot", "outcome"] * 2 + LAST_RECORDS, ""),
     "torn": (["taken", "taken", "taken", "shot"], "torn: 22 of 27 bytes"),
 }
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_kinds_of_records_and_what_is_torn(name: str) -> None:
+def test_reader_yields_record_types_and_reports_torn_record(name: str) -> None:
     with (STORED / name / "journal").open("rb") as file:
         reader = RecordReader(file)
         kinds = [record.disk_name for record, _ in reader]
     assert (kinds, reader.fault) == RECORDS[name]
 
 
-def test_outages_that_last(tmp_path: Path) -> None:
+def test_stored_outages_in_force_are_active(tmp_path: Path) -> None:
     """The one that ended, with its destination warm again, is not among them."""
     outages = OutageStore(copy_of("platform", tmp_path), no_errors())
-    assert outages.active() == [Outage(20, "", 12.5, None), Outage(21, "e21-é", 0.1, FAR)]
+    assert outages.active() == [Outage(20, "", 12.5, None), Outage(21, "e21-é", 0.1, FUTURE)]
 
 
-def test_ends_of_outages(tmp_path: Path) -> None:
+def test_slow_start_ends_of_stored_outages_are_read(tmp_path: Path) -> None:
     outages = OutageStore(copy_of("platform", tmp_path), no_errors())
-    assert [outage.slow_start_end for outage in outages.outages.values()] == [None, FAR, THEN + 1]
+    assert [outage.slow_start_end for outage in outages.outages.values()] == [None, FUTURE, PAST + 1]
 
 
-def test_endpoints_detached_by_operators(tmp_path: Path) -> None:
+def test_stored_detached_endpoints_are_read(tmp_path: Path) -> None:
     assert DetachedEndpoints(copy_of("platform", tmp_path), no_errors()).read() == {"e3", "e-ü", "gone"}
 
 
-def test_traffic_classes_by_id_after_a_switch(tmp_path: Path) -> None:
+def test_stored_traffic_classes_are_read_by_id(tmp_path: Path) -> None:
     common = {"slo": 2000.0, "window": 20000.0, "importance": 1.0}
     free = {"name": "free", "deadline": 30000.0, "repeat": "retryable", "one-at-a-time": False, **common}
     tag = {"name": "tag", "deadline": 30000.0, "repeat": "dedup", "one-at-a-time": True, **common}
@@ -162,29 +177,29 @@
 
 
 NOTICES = [
-    RetryAfterNotice(30, "", FAR + 1),
-    RetryAfterNotice(31, "e31", FAR + 2),  # published twice: the later end
-    RetryAfterNotice(32, "é" * 21 + "x", FAR + 3),  # 43 bytes, the longest id
-    RetryAfterNotice(33, "", FAR + 4),  # a longer id: its whole destination waits
-    RetryAfterNotice(35, "e35", FAR + 5),  # published by the other process
+    RetryAfterNotice(30, "", FUTURE + 1),
+    RetryAfterNotice(31, "e31", FUTURE + 2),  # published twice: the later end
+    RetryAfterNotice(32, "é" * 21 + "x", FUTURE + 3),  # 43 bytes, the longest id
+    RetryAfterNotice(33, "", FUTURE + 4),  # a longer id: its whole destination waits
+    RetryAfterNotice(35, "e35", FUTURE + 5),  # published by the other process
 ]
 
 
-def test_notices_in_shared_memory(tmp_path: Path) -> None:
+def test_stored_shared_memory_notices_are_read(tmp_path: Path) -> None:
     memory = SharedMemory(copy_of("platform", tmp_path), MAX_PROCESSES)
-    updates = memory.updates(THEN + 1)
+    updates = memory.updates(PAST + 1)
     memory.close()
     assert updates.notices == NOTICES
 
 
-def test_counters_of_shared_memory(tmp_path: Path) -> None:
+def test_stored_shared_memory_counters_are_read(tmp_path: Path) -> None:
     """The process that had the first file published six notices, and detached one endpoint."""
     memory = SharedMemory(copy_of("platform", tmp_path), 1)
     memory.close()
     assert (memory.counters.notices, memory.counters.detached_changes) == (6, 1)
 
 
-def test_the_imprint_is_accepted(tmp_path: Path) -> None:
+def test_stored_imprint_of_same_sender_is_accepted(tmp_path: Path) -> None:
     """The traffic classes that it names are those of the sender's file: no id changes its meaning."""
     directory = StateDirectory(copy_of("standalone", tmp_path), "relay-1")
     directory.close()
@@ -199,7 +214,7 @@
     ]
 
 
-def test_messages_held_beside_the_imprint(tmp_path: Path) -> None:
+def test_live_messages_beside_stored_imprint_are_counted(tmp_path: Path) -> None:
     directory = StateDirectory(copy_of("standalone", tmp_path), "relay-1")
     directory.close()
     assert directory.live_messages() == len(MESSAGES["standalone"])
@@ -211,18 +226,18 @@
 
 
 OUTCOMES = {
-    "s-first": FinalOutcome("completed", FAR, 0),
-    "s-second": FinalOutcome("undeliverable", FAR + 2, 0),  # stands behind a line that was cut off
-    "s-third": FinalOutcome("withdrawn", FAR + 3, 0),
-    "s-fourth": FinalOutcome("deferred", FAR + 4, FAR + 900_000),
-    "s-fifth": FinalOutcome("completed", FAR + 5, 0),
-    "s-again": FinalOutcome("completed", FAR + 6, 0),  # deferred in the older file, then handed in again
-    "s-sixth": FinalOutcome("undeliverable", FAR + 7, 0),
+    "s-first": FinalOutcome("completed", FUTURE, 0),
+    "s-second": FinalOutcome("undeliverable", FUTURE + 2, 0),  # stands behind a line that was cut off
+    "s-third": FinalOutcome("withdrawn", FUTURE + 3, 0),
+    "s-fourth": FinalOutcome("deferred", FUTURE + 4, FUTURE + 900_000),
+    "s-fifth": FinalOutcome("completed", FUTURE + 5, 0),
+    "s-again": FinalOutcome("completed", FUTURE + 6, 0),  # deferred in the older file, then handed in again
+    "s-sixth": FinalOutcome("undeliverable", FUTURE + 7, 0),
 }
 
 
-def test_final_outcomes_of_messages(tmp_path: Path) -> None:
-    store = OutcomeStore(copy_of("standalone", tmp_path), DISK, 60_000_000, no_errors())
+def test_stored_final_outcomes_are_read(tmp_path: Path) -> None:
+    store = OutcomeStore(copy_of("standalone", tmp_path), MAX_LOG_BYTES, 60_000_000, no_errors())
     store.close()
     assert {trace_id: store.get(trace_id) for trace_id in store.trace_ids()} == OUTCOMES
     assert store.trace_ids() == list(OUTCOMES)
--- a/tests/server/storage/test_stored_data_at_start.py
+++ b/tests/server/storage/test_stored_data_at_start.py
@@ -12,7 +12,7 @@
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
-ENDS = {
+FINAL_STATES = {
     "s-first": "completed",
     "s-second": "undeliverable",
     "s-third": "withdrawn",
@@ -23,14 +23,14 @@
 }
 
 
-def test_a_platform_sender_goes_on(world: World) -> None:
+def test_platform_sender_finishes_stored_messages(world: World) -> None:
     """A process that starts on the state directory ends each message as its track allows."""
     shutil.copytree(STORED / "platform", world.folder / "state", dirs_exist_ok=True)
     world.start()
     until(lambda: len(world.notifications) >= 5 and len(world.attempts) >= 3)
-    told = {line["id"]: (line["status"], line.get("again_ms")) for line in world.notifications}
-    lost = dict.fromkeys(["p-owed", "p-tried", "p-out", "p-orphan-out"], ("undeliverable", None))
-    assert told == {**lost, "p-deferred": ("deferred", 500)}
+    reported = {line["id"]: (line["status"], line.get("again_ms")) for line in world.notifications}
+    undeliverable = dict.fromkeys(["p-owed", "p-tried", "p-out", "p-orphan-out"], ("undeliverable", None))
+    assert reported == {**undeliverable, "p-deferred": ("deferred", 500)}
     assert set(world.attempts) == {"p-waiting", "p-ran", "p-ran-and-out"}
     waiting = ["p-bytes", "p-empty", "p-orphan-waiting"]  # for the endpoint that an operator holds
     until(lambda: [message.trace_id for message in live_messages(world)] == waiting)
@@ -46,14 +46,14 @@
     return list(log.messages.live.values())
 
 
-def test_a_standalone_sender_answers_for_the_ends(tmp_path: Path) -> None:
+def test_standalone_sender_reports_stored_final_states(tmp_path: Path) -> None:
     sender = Alone(tmp_path)
     shutil.copytree(STORED / "standalone", tmp_path / "standalone")
     configuration = (STORED / "sender.toml").read_text()
     sender.file.write_text(configuration.replace("127.0.0.1:8080", f"127.0.0.1:{sender.address[1]}"))
     try:
         sender.start()
-        assert {message: sender.state(message) for message in ENDS} == ENDS
+        assert {message: sender.state(message) for message in FINAL_STATES} == FINAL_STATES
         assert sender.state("s-ran") == "undeliverable"  # its first attempt may have run, its window is over
     finally:
         sender.stop()
--- a/tests/server/storage/test_stored_data_written.py
+++ b/tests/server/storage/test_stored_data_written.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 from support.loggers import no_errors
-from support.stored_data import DISK, FAR, STORED, THEN
+from support.stored_data import FUTURE, MAX_LOG_BYTES, PAST, STORED
 
 from ashpath.cli.standalone_deployment import FileConfiguration
 from ashpath.server.storage import outage_store, outcome_store
@@ -26,21 +26,21 @@
 PLATFORM, STANDALONE = STORED / "platform", STORED / "standalone"
 
 
-def test_log(tmp_path: Path) -> None:
+def test_written_log_has_the_stored_bytes(tmp_path: Path) -> None:
     """The stored one lacks the last five bytes."""
-    log = WriteAheadLog(tmp_path, DISK)
-    messages = [StoredMessage(n, f"t-{n}", 0, n, None, None, FAR, b"body %d" % n) for n in (1, 2, 3)]
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    messages = [StoredMessage(n, f"t-{n}", 0, n, None, None, FUTURE, b"body %d" % n) for n in (1, 2, 3)]
     for message in messages:
         log.record_submitted(message)
-    log.record_attempt(messages[1], THEN, "e2")
+    log.record_attempt(messages[1], PAST, "e2")
     log.record_outcome(messages[1], may_have_run=True)
     log.close()
     assert (tmp_path / "journal").read_bytes()[:-5] == (STORED / "torn" / "journal").read_bytes()
 
 
-def test_log_of_a_message_that_is_finished(tmp_path: Path) -> None:
-    log = WriteAheadLog(tmp_path, DISK)
-    message = StoredMessage(11, "p-told", 0, 1, None, None, FAR + 11, b"200")
+def test_written_finished_message_has_the_stored_bytes(tmp_path: Path) -> None:
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    message = StoredMessage(11, "p-told", 0, 1, None, None, FUTURE + 11, b"200")
     log.record_submitted(message)
     log.record_finished(message, '{"id":"p-told","status":"undeliverable"}')
     log.record_finished(message)
@@ -49,53 +49,53 @@
     assert (PLATFORM / "journal").read_bytes().endswith(written)
 
 
-def test_rewritten_log(tmp_path: Path) -> None:
+def test_rewriting_a_rewritten_log_changes_no_byte(tmp_path: Path) -> None:
     """The stored one was rewritten once, then its process appended to it."""
     path = tmp_path / "journal"
     path.write_bytes((PLATFORM / "journal").read_bytes())
-    WriteAheadLog(tmp_path, DISK).close()
+    WriteAheadLog(tmp_path, MAX_LOG_BYTES).close()
     first = path.read_bytes()
-    WriteAheadLog(tmp_path, DISK).close()
+    WriteAheadLog(tmp_path, MAX_LOG_BYTES).close()
     assert path.read_bytes() == first
     unchanged = first.index(b'["taken",2,') - 8  # the first message: not touched since
     assert (PLATFORM / "journal").read_bytes()[:unchanged] == first[:unchanged]
 
 
-def test_shared_memory(tmp_path: Path) -> None:
+def test_written_shared_memory_has_the_stored_bytes(tmp_path: Path) -> None:
     memory = SharedMemory(tmp_path, 1)
-    memory.publish_retry_after(30, "", FAR + 1)
-    memory.publish_retry_after(31, "e31", FAR)
-    memory.publish_retry_after(31, "e31", FAR + 2)
-    memory.publish_retry_after(32, "é" * 21 + "x", FAR + 3)
-    memory.publish_retry_after(33, "e" * 44, FAR + 4)
-    memory.publish_retry_after(34, "ended", THEN)
+    memory.publish_retry_after(30, "", FUTURE + 1)
+    memory.publish_retry_after(31, "e31", FUTURE)
+    memory.publish_retry_after(31, "e31", FUTURE + 2)
+    memory.publish_retry_after(32, "é" * 21 + "x", FUTURE + 3)
+    memory.publish_retry_after(33, "e" * 44, FUTURE + 4)
+    memory.publish_retry_after(34, "ended", PAST)
     memory.publish_detached_change()
     memory.close()
     assert (tmp_path / "board-0").read_bytes() == (PLATFORM / "board-0").read_bytes()
 
 
-def test_outages(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(outage_store, "stored_time", lambda: THEN)
+def test_written_outages_have_the_stored_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(outage_store, "stored_time", lambda: PAST)
     written = outage_store.OutageStore(tmp_path, no_errors())
     written.outage_began(20, "", 12.5)
-    for endpoint, destination, rate, ramp in (("e21-é", 21, 0.1, FAR - THEN), ("e22", 22, 3.0, 1)):
+    for endpoint, destination, rate, ramp in (("e21-é", 21, 0.1, FUTURE - PAST), ("e22", 22, 3.0, 1)):
         written.outage_began(destination, endpoint, rate)
         written.outage_ended(destination, endpoint, rate, ramp)
     assert (tmp_path / "outages").read_bytes() == (PLATFORM / "outages").read_bytes()
 
 
-def test_endpoints_detached_by_operators(tmp_path: Path) -> None:
+def test_written_detached_endpoints_have_the_stored_bytes(tmp_path: Path) -> None:
     for endpoint in ("e3", "e-ü", "gone"):
         DetachedEndpoints(tmp_path, no_errors()).change(endpoint, detached=True)
     assert (tmp_path / "held-endpoints").read_bytes() == (PLATFORM / "held-endpoints").read_bytes()
 
 
-def test_traffic_class_ids(tmp_path: Path) -> None:
+def test_written_traffic_class_ids_have_the_stored_bytes(tmp_path: Path) -> None:
     TrafficClassIds(tmp_path).write(TrafficClassIds(PLATFORM).read())
     assert (tmp_path / "track-numbers").read_bytes() == (PLATFORM / "track-numbers").read_bytes()
 
 
-def test_imprint_and_lock(tmp_path: Path) -> None:
+def test_written_imprint_and_lock_have_the_stored_bytes(tmp_path: Path) -> None:
     folder = StateDirectory(tmp_path, "relay-1")
     folder.write(FileConfiguration.read(STORED / "sender.toml").sender.settings.document["classes"])
     folder.close()
@@ -103,11 +103,13 @@
     assert (tmp_path / "lock").read_bytes() == b"%d\n" % os.getpid()
 
 
-def test_final_outcomes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_written_final_outcomes_have_the_stored_bytes(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The same lines, in one file, as the stored two have between those that were cut off."""
     stored = (STANDALONE / "ends.old").read_bytes() + (STANDALONE / "ends").read_bytes()
     lines = [line for line in stored.splitlines(keepends=True) if line.endswith(b"]\n")]
-    written = outcome_store.OutcomeStore(tmp_path, DISK, 60_000_000, no_errors())
+    written = outcome_store.OutcomeStore(tmp_path, MAX_LOG_BYTES, 60_000_000, no_errors())
     for trace_id, state, at, retry_after in map(orjson.loads, lines):
         monkeypatch.setattr(outcome_store, "stored_time", lambda at=at: at)
         written.add(trace_id, FinalState(state), retry_after)
--- a/tests/server/storage/test_traffic_class_ids.py
+++ b/tests/server/storage/test_traffic_class_ids.py
@@ -19,7 +19,7 @@
     assert [path.name for path in tmp_path.iterdir()] == [FILE_NAME]
 
 
-def test_none_before_a_switch_and_none_once_removed(tmp_path: Path) -> None:
+def test_no_traffic_class_ids_before_switch_or_after_removal(tmp_path: Path) -> None:
     ids = TrafficClassIds(tmp_path)
     assert ids.read() == []
     ids.write(CLASSES)
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("content", [b'{"version": 2, "tracks": []}', b'{"version": 1, "tracks": ["a"]}'])
-def test_a_foreign_file_is_named_in_the_line_of_a_failed_start(tmp_path: Path, content: bytes) -> None:
+def test_foreign_file_is_named_in_startup_error(tmp_path: Path, content: bytes) -> None:
     path = tmp_path / FILE_NAME
     path.write_bytes(content)
     with pytest.raises(TrafficClassIdsError) as caught:
--- a/tests/support/stored_data.py
+++ b/tests/support/stored_data.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 
 STORED = Path(__file__).parent.parent / "fixtures" / "stored_data"
-DISK = 1 << 20  # bytes that a log may take
-FAR = 4_102_444_800_000_000  # 2100-01-01T00:00:00Z in microseconds: deadlines and ends of Retry-After
-THEN = 1_577_836_800_000_000  # 2020-01-01T00:00:00Z: attempts that were made
+MAX_LOG_BYTES = 1 << 20  # bytes that a log may take
+FUTURE = 4_102_444_800_000_000  # 2100-01-01T00:00:00Z in microseconds: deadlines and ends of Retry-After
+PAST = 1_577_836_800_000_000  # 2020-01-01T00:00:00Z: attempts that were made
 
 
 def copy_of(name: str, folder: Path) -> Path:
