--- a/ashpath/server/storage/__init__.py
+++ b/ashpath/server/storage/__init__.py
@@ -1,10 +1,11 @@
-"""What outlives the process: the write-ahead log, and the other files of the state directory.
+"""Stored data: the write-ahead log and the other files of the state directory.
 
-The sender opens these files at its start and hands them to the parts that use them; the policy runner, the
-outcome recorder and admission write the log, operators' commands the detached endpoints; `ashpath ledger`
-reads a log. Two processes of a hot upgrade use one directory at the same time. This package never decides
-what becomes of a message, never waits for another process longer than a small write takes, never writes a
-file that another living process writes without its lock, and never syncs: what the kernel has survives a
-kill, which is what it is for. The formats on disk are stored data: a release reads what the one before it
-wrote.
+The sender opens these files at its start and passes them to the components that use them. The policy runner,
+the outcome recorder and admission write the log; operators' commands write the detached endpoints; `ashpath
+ledger` reads a log. The two processes of a hot upgrade use one directory at the same time.
+
+This package never decides the state of a message, never waits for another process longer than a small write
+takes, and never writes a file that another living process writes without holding its lock. It never syncs:
+the data has to survive a kill of the process, and data in the kernel's page cache does. A release reads the
+formats that the previous release wrote.
 """
--- a/ashpath/server/storage/append.py
+++ b/ashpath/server/storage/append.py
@@ -1,4 +1,4 @@
-"""Appends to a file that is never synced: all of the data, or none of it."""
+"""Atomic appends, without a sync: a file receives all of the data or none of it."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def append_whole(descriptor: int, data: bytes, size: int) -> None:
-    """One write at the end of a file of `size` bytes, which is cut back to that where it fails.
+    """Appends `data` to a file of `size` bytes in one write, and truncates the file to `size` if that fails.
 
-    Raises OSError, PartialWriteError among them.
+    Raises OSError if the write or the truncation fails, and PartialWriteError if the write is short.
     """
     try:
         _write(descriptor, data)
     except OSError:
-        os.ftruncate(descriptor, size)  # a torn piece would spoil all that follows it
+        os.ftruncate(descriptor, size)  # a torn record would make the records after it unreadable
         raise
 
 
--- a/ashpath/server/storage/atomic_file.py
+++ b/ashpath/server/storage/atomic_file.py
@@ -1,6 +1,6 @@
-"""Small files that are replaced as a whole: who reads one sees the old content or the new, never a part.
+"""Atomic replacement of small files: a reader sees the old content or the new content, never a part.
 
-Nothing is synced: what the kernel has survives a kill of the process.
+The files are not synced: data in the kernel's page cache survives a kill of the process.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 
 def replace_file(path: Path, content: bytes, temporary: Path) -> None:
-    """Writes `temporary`, which no other process may write, and renames it over `path`.
+    """Writes `temporary`, which no other process may write, and renames it to `path`.
 
-    Raises OSError: `path` is then as it was, and `temporary` may be left.
+    Raises OSError if the write or the rename fails: `path` is unchanged then, and `temporary` may be left.
     """
     temporary.write_bytes(content)
     os.replace(temporary, path)
 
 
 def replace_shared_file(path: Path, content: bytes) -> None:
-    """The same for a file that two processes of a hot upgrade write: the temporary one has this process's id.
+    """Replaces a file that both processes of a hot upgrade write; the temporary file has the process's id.
 
-    Raises OSError: `path` is then as it was, and nothing else is left.
+    Raises OSError if the write or the rename fails: `path` is unchanged then, and no temporary file is left.
     """
     temporary = path.with_name(f"{path.name}.{os.getpid()}")
     try:
--- a/ashpath/server/storage/detached_endpoints.py
+++ b/ashpath/server/storage/detached_endpoints.py
@@ -1,9 +1,9 @@
-"""The endpoints that operators have detached, kept so that they outlive a hot upgrade and a kill.
+"""The endpoints that operators have detached, stored so that they survive a hot upgrade and a kill.
 
-One file, `held-endpoints`: JSON, `{"version": 1, "held": [endpoint ids]}`. It is changed under a lock, as
-the other process of a hot upgrade may change it at the same time, and replaced as a whole. A file that
-cannot be read counts as no endpoint detached, with one line in the log. What being detached means is the
-policy's (`set_detached`); this only keeps the ids.
+The file `held-endpoints` is JSON, `{"version": 1, "held": [endpoint ids]}`. A change takes a lock, since the
+other process of a hot upgrade may change the file at the same time, and replaces the file atomically. A file
+that cannot be read counts as no detached endpoint and is logged once. This module stores the ids only; the
+policy applies them (`set_detached`).
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 VERSION = 1
 MAX_ENDPOINTS = 4096
 LOCK_ATTEMPTS = 50
-LOCK_PAUSE_S = 0.001  # between attempts: the other process has the lock for one small write
+LOCK_PAUSE_S = 0.001  # between two attempts; the other process holds the lock for one small write
 
 
 class DetachedEndpoints:
-    """The file in one state directory. Holds nothing in memory: another process may have changed it."""
+    """The file in one state directory. Nothing is cached in memory: another process may change the file."""
 
     def __init__(self, directory: Path, logger: Logger) -> None:
         self._file = VersionedFile(
@@ -38,7 +38,7 @@
         self._logger = logger
 
     def read(self) -> set[str]:
-        """The ids when the file was last written; none where there is no file or it cannot be read."""
+        """Returns the stored ids; an empty set if the file does not exist or cannot be read."""
         try:
             rows = self._file.read_rows()
             self._check(rows)
@@ -56,9 +56,10 @@
             raise self._file.foreign_file_error()
 
     def change(self, endpoint_id: str, *, detached: bool) -> None:
-        """One endpoint more or fewer, in what the file says by now.
+        """Adds one endpoint to the current content of the file, or removes it.
 
-        Raises OSError, DetachedEndpointsError among them, where it cannot be stored: nothing is changed then.
+        Raises OSError, which includes DetachedEndpointsError, if the change cannot be stored: the file is
+        unchanged then.
         """
         with self._locked():
             endpoint_ids = self.read()
@@ -83,9 +84,10 @@
 
 
 def _acquire(lock: FileLock) -> None:
-    """Raises DetachedEndpointsError where another process keeps the lock, and any other OSError as it is.
+    """Acquires the lock, in up to LOCK_ATTEMPTS attempts.
 
-    `FileLock.acquire` would take the latter for a lock that is held, and an operator reads the reason.
+    Raises DetachedEndpointsError if another process still holds the lock, and any other OSError unchanged:
+    `FileLock.acquire` would report such an error as a held lock, and the operator needs the reason.
     """
     for attempt in range(LOCK_ATTEMPTS):
         with suppress(BlockingIOError):
--- a/ashpath/server/storage/errors.py
+++ b/ashpath/server/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of stored data: what was on disk before one is raised is there after it."""
+"""Errors of stored data. Data that was on disk before such an error is raised is still there afterwards."""
 
 from __future__ import annotations
 
@@ -7,27 +7,30 @@
 
 
 class StorageError(Exception):
-    """`reported_as` is the kind of error in the line that a failed start prints: operators know that line."""
+    """An error of stored data that may end a start.
+
+    `reported_as` is the type of error in the line that a failed start prints, which operators match.
+    """
 
     reported_as: ClassVar[str]
 
 
 class StateDirectoryError(Exception):
-    """The state directory cannot be used by this sender; the message says why."""
+    """This sender cannot use the state directory; the message gives the reason."""
 
     @classmethod
     def of_directory(cls, path: Path, reason: str | None) -> StateDirectoryError:
-        """The directory as a whole."""
-        return cls(f"state folder {path}: {reason}")
+        """The reason concerns the directory as a whole."""
+        return cls(f"state directory {path}: {reason}")
 
     @classmethod
     def of_file(cls, path: Path, reason: object) -> StateDirectoryError:
-        """One file in it."""
+        """The reason concerns one file in the directory."""
         return cls(f"{path}: {reason}")
 
 
 class ForeignRecordError(StorageError, ValueError):
-    """A record of a log whose checksum is right and whose fields are not ours: another version wrote it."""
+    """A record of a log has a valid checksum and unknown fields: another version wrote it."""
 
     reported_as = "ForeignRecordError"
 
@@ -41,7 +44,7 @@
     reported_as = "OSError"
 
     def __init__(self, directory: Path, process_id: int) -> None:
-        super().__init__(f"{directory}: the journal of process {process_id} is locked by another")
+        super().__init__(f"{directory}: another process has locked the journal of process {process_id}")
 
 
 class TrafficClassIdsError(StorageError, ValueError):
@@ -54,31 +57,31 @@
 
 
 class ForeignFileError(ValueError):
-    """A file of the state directory that is whole and not of the version that this code reads."""
+    """A file of the state directory is complete JSON in a format that this version does not read."""
 
     def __init__(self, contents: str) -> None:
         super().__init__(f"not a file of {contents} of this version")
 
 
 class PartialWriteError(OSError):
-    """The disk took only a part of what was to be written."""
+    """A write stored only a part of its data."""
 
     def __init__(self, written: int, expected: int) -> None:
         super().__init__(f"only {written} of {expected} bytes written")
 
 
 class LogNotOpenError(OSError):
-    """The disk has taken no log of this process yet."""
+    """The log is not open, since no rewrite of it has succeeded yet."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__(f"{path}: not open yet")
+        super().__init__(f"{path}: the write-ahead log is not open yet")
 
 
 class LogIncompleteError(OSError):
-    """Records that failed before have to be written first, and the disk does not take them."""
+    """Nothing can be appended, since earlier records whose write failed still cannot be written."""
 
     def __init__(self, path: Path) -> None:
-        super().__init__(f"{path}: records that failed are not written yet")
+        super().__init__(f"{path}: earlier records whose write failed are not written yet")
 
 
 class DetachedEndpointsError(OSError):
@@ -86,10 +89,10 @@
 
     @classmethod
     def too_many(cls, most: int) -> DetachedEndpointsError:
-        """No endpoint more can be detached."""
-        return cls(f"{most} endpoints are held already")
+        """The file has the maximum number of endpoints."""
+        return cls(f"{most} endpoints are detached already")
 
     @classmethod
     def locked(cls) -> DetachedEndpointsError:
-        """Another process keeps the lock."""
-        return cls("another process is writing it")
+        """Another process holds the lock."""
+        return cls("another process holds the lock of the detached endpoints")
--- a/ashpath/server/storage/file_lock.py
+++ b/ashpath/server/storage/file_lock.py
@@ -1,7 +1,8 @@
-"""Advisory locks that end with the process that holds them, however it ends.
+"""Advisory locks (flock) that end with the process that holds them, even if the process is killed.
 
-The kernel drops a lock with the last descriptor of its open file, so a lock that is free means that its
-holder is gone. Two locks of one process on one file exclude each other as those of two processes do.
+The kernel releases a lock when the last descriptor of its open file is closed, so a free lock means that its
+former holder has ended or closed it. Two locks of one process on one file exclude each other as the locks of
+two processes do.
 """
 
 from __future__ import annotations
@@ -12,7 +13,10 @@
 
 
 def try_lock(descriptor: int) -> bool:
-    """Locks an open file for as long as it stays open; False where another holds the lock."""
+    """Locks an open file until it is closed, without waiting.
+
+    Returns False if that fails, as when the lock is held elsewhere.
+    """
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
@@ -21,22 +25,25 @@
 
 
 class FileLock:
-    """A lock file, made where there is none. Raises OSError where it cannot be opened."""
+    """A lock file, created if it does not exist. Raises OSError if the file cannot be opened."""
 
     def __init__(self, path: Path) -> None:
         self.descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
 
     def acquire(self) -> bool:
-        """Without waiting; False where another holds it."""
+        """Acquires the lock without waiting; returns False if it is held elsewhere."""
         return try_lock(self.descriptor)
 
     def release(self) -> None:
-        """The file stays: removed, it could be locked under one name by two processes."""
+        """Releases the lock. The file stays, as otherwise two processes could lock two files of one name."""
         os.close(self.descriptor)
 
 
 def try_acquire(path: Path) -> FileLock | None:
-    """The lock, held; None where another holds it. Raises OSError where the file cannot be opened."""
+    """Returns the acquired lock, or None if it is held elsewhere.
+
+    Raises OSError if the file cannot be opened.
+    """
     lock = FileLock(path)
     if lock.acquire():
         return lock
--- a/ashpath/server/storage/final_state.py
+++ b/ashpath/server/storage/final_state.py
@@ -1,4 +1,4 @@
-"""The final states of a message, by the names that clients and receivers of notifications read."""
+"""The final states of a message, under the names that clients and receivers of notifications read."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class FinalState(StrEnum):
-    """How a message ended; it has one of them, and never another afterwards."""
+    """How a message ended. A message reaches exactly one final state, which never changes."""
 
     DELIVERED = wire_names.DELIVERED_STATE
     REJECTED = wire_names.REJECTED_STATUS
-    """Not delivered, and harmless to submit again, after a Retry-After if there is one."""
+    """The message was not delivered and is safe to submit again, after its Retry-After if it has one."""
     FAILED = wire_names.FAILED_STATUS
-    """Not delivered, as far as is known."""
+    """The message is not known to have been delivered."""
     CANCELLED = wire_names.CANCELLED_STATE
-    """Its client left before the message was accepted."""
+    """The client disconnected before the message was accepted."""
--- a/ashpath/server/storage/live_messages.py
+++ b/ashpath/server/storage/live_messages.py
@@ -1,15 +1,15 @@
-"""The table of live messages, and the one function that says what each record of the log does to it.
+"""The table of live messages, and the effect of each log record on the table.
 
-| record | where the message is live | where it is not |
+| record | effect on a live message | effect on a message that is not live |
 | --- | --- | --- |
-| `MessageSubmitted` | - | it is live from now on |
-| `AttemptStarted` | one attempt more, in flight since then at that endpoint | nothing |
-| `AttemptFinished` | nothing in flight; the first one that may have run is remembered | nothing |
-| `MessageFinished` with a notice | finished, and the notice is owed | nothing |
-| `MessageFinished` without | not live any more | nothing |
-
-Every change goes through `apply`: as it happens, and as it is read again by the next incarnation. So both
-come to the same table.
+| `MessageSubmitted` | - | the message becomes live |
+| `AttemptStarted` | counts the attempt, which is in flight from `at` at `endpoint` | none |
+| `AttemptFinished` | ends the attempt in flight; the first that may have run is remembered | none |
+| `MessageFinished` with a notice | the message is finished, and its notice is pending | none |
+| `MessageFinished` without | the message is removed | none |
+
+`apply` makes every change, both as events happen and as the next incarnation reads the log, so both yield
+the same table.
 """
 
 from __future__ import annotations
@@ -25,34 +25,37 @@
 from ashpath.server.storage.stored_message import StoredMessage
 
 GROWTH_BYTES = (
-    240  # two times, two endpoints, and a notice less its id: what later records may add to a message
+    240  # what later records may add to a message: two times, two endpoints, and a notice without its id
 )
 
 
 class LiveMessages:
-    """Messages without a final state, and those that still owe a notice of theirs.
+    """Messages without a final state, and finished messages whose notice is still to be delivered.
 
-    A message leaves the table with its last record, so the table grows with the messages in the log alone,
-    and the log's size bounds it.
+    The last record of a message removes it from the table, so the table has only messages that are in the
+    log, and the size limit of the log bounds it.
     """
 
     def __init__(self) -> None:
         self.live: dict[int, StoredMessage] = {}
-        """By message id, in the order in which they were submitted or adopted."""
+        """Live messages by message id, in the order in which they were submitted or adopted."""
         self.by_trace_id: dict[str, StoredMessage] = {}
-        """The same messages."""
+        """The same messages by trace id."""
         self.reserved_bytes = 0
-        """What the live messages may take in a log that is rewritten."""
+        """Upper bound of the bytes that the live messages take in a rewritten log."""
         self.last_id = 0
-        """The highest message id that was given; ids are never used again."""
+        """The highest message id assigned so far; ids are never reused."""
 
     def read(self, reader: RecordReader) -> None:
-        """Applies all whole records of a log. Raises ForeignRecordError."""
+        """Applies all valid records of a log.
+
+        Raises ForeignRecordError if another version wrote a record, and OSError if the log cannot be read.
+        """
         for record, size in reader:
             self.apply(record, size)
 
     def apply(self, record: Record, size: int = 0) -> None:
-        """What a record does. `size`: the bytes of a `MessageSubmitted`; no other record's matters."""
+        """Applies one record. `size`: the bytes of a `MessageSubmitted` on disk; unused for other records."""
         if isinstance(record, MessageSubmitted):
             self.add(record.message, size)
             return
@@ -69,7 +72,7 @@
             self._finish(message, record)
 
     def add(self, message: StoredMessage, size: int) -> None:
-        """`size`: the bytes that its `MessageSubmitted` takes now."""
+        """Adds a live message. `size`: the bytes that its `MessageSubmitted` takes on disk now."""
         message.reserved_bytes = reserved_bytes(message, size)
         self.live[message.message_id] = message
         self.by_trace_id[message.trace_id] = message
@@ -83,7 +86,7 @@
             self.discard(message)
 
     def discard(self, message: StoredMessage) -> None:
-        """It is not live any more."""
+        """Removes a message that is no longer live."""
         del self.live[message.message_id]
         self.by_trace_id.pop(message.trace_id, None)
         self.reserved_bytes -= message.reserved_bytes
@@ -98,5 +101,8 @@
 
 
 def reserved_bytes(message: StoredMessage, size: int) -> int:
-    """What a record of this size may come to in a log that is rewritten: a notice repeats the trace id."""
+    """Returns the most bytes that a message whose record has this size may take in a rewritten log.
+
+    The trace id counts twice, since a notice repeats it.
+    """
     return size + len(message.trace_id) + GROWTH_BYTES
--- a/ashpath/server/storage/log_directory.py
+++ b/ashpath/server/storage/log_directory.py
@@ -1,9 +1,9 @@
-"""The logs of a state directory: which one a process takes, which are orphans, and the disk they take.
+"""The logs of a state directory: which log a process claims, which are orphans, and their use of the disk.
 
-In a hot upgrade two processes share the directory. Beside each log stands a lock file, held by the process
-that writes the log for as long as that process lives. A process takes `journal` where its lock is free,
-else `journal-PID`. A log whose lock is free and that is not its own is an orphan: its process is gone. No
-process writes a file of another that lives.
+In a hot upgrade two processes share the directory. Each log has a lock file, whose lock the process that
+writes the log holds until that process ends. A process claims `journal` if its lock is free, and
+`journal-PID` otherwise. Any other log whose lock is free is an orphan: its process has ended. No process
+writes a file of another living process.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from ashpath.server.storage.file_lock import FileLock, try_acquire
 from ashpath.server.storage.log_file import TEMPORARY_SUFFIX, temporary_path
 
-FIRST_LOG = "journal"  # the log of a process that found no other alive
+FIRST_LOG = "journal"  # claimed by a process that starts while no living process holds it
 LOG_NAME = re.compile(r"journal(-[0-9]+)?")
-BLOCK_BYTES = 4096  # what rounding up to whole blocks may add, a log and its rewritten copy together
-OTHER_LOG_FACTOR = 2.2  # disk per byte of another log: rewritten beside itself, and grown a little
+BLOCK_BYTES = 4096  # what rounding up to whole blocks may add to a log and its rewritten copy together
+OTHER_LOG_FACTOR = 2.2  # bytes of disk per byte of another log: the log, its rewritten copy, and some growth
 
 
 class LockedLog(Struct, frozen=True):
@@ -34,13 +34,17 @@
 
 
 class LogDirectory:
-    """The logs in one state directory, which is made where there is none."""
+    """The logs in one state directory."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def claim(self) -> LockedLog:
-        """This process's log: the first one if no living process holds it. Raises OSError, LogLockedError."""
+        """Locks and returns this process's log, which is the first log unless a living process holds it.
+
+        Creates the directory if it does not exist. Raises LogLockedError if the log named after this process
+        is locked too, and OSError if a lock file cannot be opened.
+        """
         self.path.mkdir(parents=True, exist_ok=True)
         for name in (FIRST_LOG, f"{FIRST_LOG}-{os.getpid()}"):
             path = self.path / name
@@ -50,7 +54,10 @@
         raise LogLockedError(self.path, os.getpid())
 
     def orphans(self, own: Path) -> Iterator[LockedLog]:
-        """Logs of processes that are gone; the caller releases each lock before it asks for the next."""
+        """Yields the logs of processes that have ended, each locked.
+
+        The caller releases each lock before it asks for the next log.
+        """
         for path in sorted(self.path.iterdir()):
             if path.name != own.name and LOG_NAME.fullmatch(path.name):
                 lock = try_acquire(_lock_path(path))
@@ -58,10 +65,10 @@
                     yield LockedLog(path, lock)
 
     def other_logs_bytes(self, own: Path) -> int:
-        """Bytes of disk that other logs may need, of a living process or not yet adopted.
+        """Returns the bytes of disk that logs of living processes and logs not yet adopted may need.
 
-        Each may be rewritten beside itself, and what is live in it grows with its later records: 2.2 times
-        its size and a block.
+        Each such log may be rewritten to a second file beside it, and its live messages grow with later
+        records: each counts 2.2 times its size and one block.
         """
         total = 0
         count = 0
@@ -75,7 +82,10 @@
 
 
 def clear_adopted(path: Path) -> None:
-    """Empties an adopted log: the first one stays, for the next process to take; the others are removed."""
+    """Empties the first log, which the next process claims, or removes any other log.
+
+    Raises OSError if the log cannot be emptied or removed.
+    """
     temporary = temporary_path(path)
     if path.name == FIRST_LOG:
         temporary.write_bytes(b"")
--- a/ashpath/server/storage/log_file.py
+++ b/ashpath/server/storage/log_file.py
@@ -1,16 +1,16 @@
-"""The file of one write-ahead log: records are appended, and now and then all of it is written anew.
+"""The file of one write-ahead log: records are appended, and from time to time the file is rewritten.
 
-Nothing is synced: what the kernel has survives a kill of the process. An append is one write; one that
-fails half way is cut off again, since a torn record would hide all that follow it. A rewrite goes to a file
-beside it, `NAME.new`, which is renamed over: at any moment one of the two is whole, and a kill leaves the
-old one.
+The file is not synced: data in the kernel's page cache survives a kill of the process. An append is one
+write; a short write is truncated again, since a torn record would hide the records after it. A rewrite goes
+to a second file, `NAME.new`, which is renamed to the log's name: at any moment one of the two files is
+complete, and a kill before the rename leaves the old log.
 
-| a call fails | the file |
+| failed call | state of the file afterwards |
 | --- | --- |
-| the write of an append | as it was, or torn where it cannot be cut back |
-| any of a rewrite | as it was: the descriptor in use changes only once the new file has its name |
+| the write of an append | unchanged, or torn if the truncation fails too |
+| any call of a rewrite | unchanged: the descriptor in use changes only after the rename |
 
-While it is torn nothing is appended: each append cuts it back first, and fails where it cannot.
+Nothing is appended to a torn file: each append truncates the file first, and fails if that fails.
 """
 
 from __future__ import annotations
@@ -24,26 +24,29 @@
 from ashpath.server.storage.errors import LogNotOpenError, PartialWriteError
 
 TEMPORARY_SUFFIX = ".new"
-CHUNK_BYTES = 256 << 10  # of a rewrite, at once
+CHUNK_BYTES = 256 << 10  # buffered by a rewrite before each write
 
 
 def temporary_path(path: Path) -> Path:
-    """Where a log is written anew, beside it."""
+    """Returns the path of the file to which a log is rewritten."""
     return path.with_name(f"{path.name}{TEMPORARY_SUFFIX}")
 
 
 class LogFile:
-    """Open for appending from the first `rewrite` until `close`. Only one process may have it."""
+    """A log that is open for appending from the first `rewrite` until `close`, in one process at a time."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.temporary = temporary_path(path)
         self.descriptor = -1  # not open yet
-        self.written = 0  # bytes of whole records in the file
-        self.torn = False  # there may be more bytes behind them
+        self.written = 0  # bytes of complete records in the file
+        self.torn = False  # the file may have bytes of an incomplete record after them
 
     def append(self, data: bytes) -> None:
-        """All of it or nothing. Raises OSError."""
+        """Appends all of `data` or nothing.
+
+        Raises LogNotOpenError before the first rewrite, and OSError if the write or a truncation fails.
+        """
         if self.descriptor < 0:
             raise LogNotOpenError(self.path)
         if self.torn:
@@ -59,7 +62,7 @@
         self.written += len(data)
 
     def rewrite(self, records: Iterable[bytes]) -> None:
-        """These records in place of all that it had. Raises OSError; the file is then as it was."""
+        """Replaces the content with `records`. Raises OSError, in which case the file is unchanged."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         descriptor = os.open(self.temporary, flags, 0o666)
         try:
@@ -75,13 +78,16 @@
         self.torn = False
 
     def close(self) -> None:
-        """Nothing is left to be written: each record was, as it came."""
+        """Closes the file. No data is pending, since each record is written as it is appended."""
         if self.descriptor >= 0:
             os.close(self.descriptor)
 
 
 def write_all(descriptor: int, records: Iterable[bytes]) -> int:
-    """Bytes written. Raises OSError, PartialWriteError among them."""
+    """Writes the records and returns the bytes written.
+
+    Raises PartialWriteError if a write is short, and any other OSError of a write.
+    """
     written = 0
     chunk = bytearray()
     for record in records:
@@ -93,7 +99,10 @@
 
 
 def write_chunk(descriptor: int, chunk: bytes) -> int:
-    """Bytes written. Raises OSError, PartialWriteError among them."""
+    """Writes one chunk and returns the bytes written.
+
+    Raises PartialWriteError if the write is short, and any other OSError of the write.
+    """
     if not chunk:
         return 0
     written = os.write(descriptor, chunk)
--- a/ashpath/server/storage/log_report.py
+++ b/ashpath/server/storage/log_report.py
@@ -1,6 +1,6 @@
-"""Reads a write-ahead log offline and reports what is in it, for `ashpath ledger`. It changes nothing.
+"""Reads a write-ahead log and reports its content, for `ashpath ledger`. The log is not changed.
 
-The log may belong to a sender that runs: its last record may then be torn, as it is being written.
+The log may belong to a running sender, which may be writing its last record: that record is torn then.
 """
 
 from __future__ import annotations
@@ -22,48 +22,49 @@
 from ashpath.server.storage.state_directory import IMPRINT_FILE
 from ashpath.server.storage.stored_message import StoredMessage
 
-MAX_DESTINATIONS = 20  # of the statistics
+MAX_DESTINATIONS = 20  # listed by the statistics
 
 
 class LogContents(Struct):
-    """What a log says, up to the first record that is not whole."""
+    """The content of a log, and the first fault in it."""
 
     path: Path
     traffic_class_names: list[str]
-    """By number; empty where they are not known."""
+    """Names by traffic class id; empty if they are not known."""
     size: int
     """Bytes of the file."""
     messages: LiveMessages = field(default_factory=LiveMessages)
     records: Counter[str] = field(default_factory=Counter)
-    """How many there are of each kind, by its name on disk."""
+    """The number of records of each type, by its name on disk."""
     valid_bytes: int = 0
+    """The offset of the first record that is not valid, or the end of the file."""
     skipped_bytes: int = 0
-    """The offset at which the whole records end."""
+    """Bytes skipped between valid records."""
     fault: str = ""
-    """What stands there; empty at the end of the file."""
+    """The fault of the record at `valid_bytes`; empty if all records are valid."""
 
     def traffic_class(self, number: int) -> str:
-        """Its name, or else its number."""
+        """Returns the name of the traffic class, or its number if the name is not known."""
         names = self.traffic_class_names
         return names[number] if number < len(names) else str(number)
 
     def live_messages(self) -> list[StoredMessage]:
-        """In the order in which they were accepted."""
+        """Returns the live messages in the order in which they were accepted."""
         return list(self.messages.live.values())
 
 
 def log_path(path: Path) -> Path:
-    """The log in a state directory, or the path itself where it is none."""
+    """Returns the first log of a state directory, or the path itself if it is not a directory."""
     return path / FIRST_LOG if path.is_dir() else path
 
 
 def read_log(path: Path) -> LogContents:
-    """What a log says. Raises OSError where it cannot be opened."""
+    """Reads a log. Raises OSError if the log cannot be opened or read."""
     with path.open("rb") as file:
         contents = LogContents(path, read_traffic_class_names(path.parent), file.seek(0, 2))
         file.seek(0)
         reader = RecordReader(file)
-        with suppress(ForeignRecordError):  # the reader has it as its fault
+        with suppress(ForeignRecordError):  # `reader.fault` has the reason
             for record, size in reader:
                 contents.records[record.disk_name] += 1
                 contents.messages.apply(record, size)
@@ -74,7 +75,7 @@
 
 
 def read_traffic_class_names(directory: Path) -> list[str]:
-    """By number, where the directory has a standalone sender's imprint."""
+    """Returns the names by traffic class id from a standalone sender's imprint; [] without a readable one."""
     try:
         rows = orjson.loads((directory / IMPRINT_FILE).read_bytes())["tracks"]
         return [str(row["name"]) for row in rows]
@@ -83,7 +84,7 @@
 
 
 def verification_summary(contents: LogContents) -> str:
-    """Whether every record is whole, in one line."""
+    """Returns one line that says whether every record is valid, and otherwise where the first fault is."""
     count = sum(contents.records.values())
     if not contents.fault:
         live = len(contents.messages.live)
@@ -101,7 +102,7 @@
 
 
 def verification(contents: LogContents) -> JsonObject:
-    """The same for programs."""
+    """Returns the fields of the summary for JSON output."""
     return {
         "sound": not contents.fault,
         "byte": contents.valid_bytes,
@@ -111,7 +112,7 @@
 
 
 def message_rows(contents: LogContents) -> Iterator[JsonObject]:
-    """A row for each live message."""
+    """Yields one row for each live message."""
     for message in contents.live_messages():
         yield {
             "number": message.message_id,
@@ -130,14 +131,14 @@
 
 
 def message_state(message: StoredMessage) -> str:
-    """As the command has always named it."""
+    """Returns the state under the name that `ashpath ledger` prints."""
     if message.finished:
         return "told"
     return "held" if message.in_flight_since is None else "out"
 
 
 def format_time(at_us: int | None) -> str | None:
-    """ISO 8601 in UTC; the number itself where it is no time of a calendar.
+    """Formats a time in microseconds as ISO 8601 in UTC, or as the plain number if no calendar date has it.
 
     >>> format_time(1_700_000_000_000_000), format_time(10**18), format_time(None)
     ('2023-11-14T22:13:20.000+00:00', '1000000000000000000', None)
@@ -151,7 +152,7 @@
 
 
 def statistics(contents: LogContents) -> JsonObject:
-    """Counts of the records and of the live messages."""
+    """Returns counts of the records and of the live messages."""
     messages = contents.live_messages()
     classes = Counter(contents.traffic_class(message.traffic_class) for message in messages)
     destinations = Counter(message.destination for message in messages)
--- a/ashpath/server/storage/outage_store.py
+++ b/ashpath/server/storage/outage_store.py
@@ -1,17 +1,18 @@
-"""Destinations and endpoints in outage, to this sender, kept for its next incarnation.
+"""The destinations and endpoints that this sender sees in outage, stored for its next incarnation.
 
-A sender that saw an outage sends carefully at the return, and a restart must not make it forget: a fleet that
-restarts during an outage would send all that it held at once, to a destination that has just come back.
+After an outage a sender increases its rate in a slow start, also if it was restarted in the meantime:
+otherwise a fleet that restarts during an outage would send all its held messages at once to a destination
+that has just recovered.
 
-One file, `outages`: JSON, `{"version": 1, "out": [[destination, endpoint, rate, end], ...]}`, replaced
-as a whole at each change of mode. An empty endpoint stands for the whole destination. A file that cannot be
-read counts as no outage, with one line in the log. What follows from an outage is the policy's
-(`restore_outage`); this only keeps it.
+The file `outages` is JSON, `{"version": 1, "out": [[destination, endpoint, rate, end], ...]}`, replaced
+atomically at each change of mode. An empty endpoint means the whole destination. A file that cannot be read
+counts as no outage and is logged once. This module stores outages only; the policy applies them
+(`restore_outage`).
 
 | mode | stored as | until |
 | --- | --- | --- |
-| in outage | end null | it ends |
-| in slow start after one | end in microseconds of the stored clock | that time |
+| in outage | end null | the outage ends |
+| in slow start after an outage | end in microseconds of the stored clock | that time |
 """
 
 from __future__ import annotations
@@ -29,44 +30,44 @@
 
 FILE_NAME = "outages"
 VERSION = 1
-MAX_OUTAGES = 128  # the latest are kept
-MAX_ENDPOINT_CHARACTERS = 64  # an endpoint with a longer id is not kept
-MAX_DISK_BYTES = 2 * 16 << 10  # the old and the new file together
+MAX_OUTAGES = 128  # the most recently changed are kept
+MAX_ENDPOINT_CHARACTERS = 64  # the outage of an endpoint with a longer id is not stored
+MAX_DISK_BYTES = 2 * 16 << 10  # of the old and the new file together
 
 
 class Outage(Struct, frozen=True):
-    """One outage, or the slow start after it."""
+    """One outage, or the slow start after an outage."""
 
     destination: int
     endpoint: str
-    """Empty: the whole destination."""
+    """Endpoint id; empty for the whole destination."""
     rate: float
-    """Attempts a second that the sender had there before."""
+    """The sender's attempts per second to the destination or endpoint before the outage."""
     slow_start_end: int | None
-    """End of the slow start, microseconds of the stored clock; None while the outage lasts."""
+    """End of the slow start in microseconds of the stored clock; None while the outage lasts."""
 
     @classmethod
     def of_row(cls, row: list[Any]) -> Outage:
-        """As the file has it. Raises ValueError, TypeError."""
+        """Returns the outage of one row of the file. Raises ValueError or TypeError if the row is invalid."""
         destination, endpoint, rate, end = row
         return cls(int(destination), str(endpoint), float(rate), None if end is None else int(end))
 
     def row(self) -> list[Any]:
-        """For the file."""
+        """Returns the row that the file stores."""
         return [self.destination, self.endpoint, self.rate, self.slow_start_end]
 
 
 class OutageStore:
-    """The outages of one state directory. A change that cannot be written counts in this process alone."""
+    """The outages of one state directory. A change that cannot be written applies in this process only."""
 
     def __init__(self, directory: Path, logger: Logger) -> None:
         self._file = VersionedFile(
             directory / FILE_NAME, version=VERSION, rows_name="out", contents="outages"
         )
         self._logger = logger
-        self._failing = False  # the last write failed: said once
+        self._failing = False  # whether the last write failed; only the first failure in a row is logged
         self.outages: dict[tuple[int, str], Outage] = {}
-        """By destination and endpoint, the oldest change first; those that are over go at the next change."""
+        """By destination and endpoint, the oldest change first; the next change removes expired outages."""
         try:
             for row in self._file.read_rows()[-MAX_OUTAGES:]:
                 self._add(Outage.of_row(row))
@@ -77,16 +78,16 @@
             logger.error("outages not read, none are known", file=str(self._file.path), error=str(error))  # noqa: TRY400 - one line is enough
 
     def active(self) -> list[Outage]:
-        """Those that last, or after which the destination is still in slow start."""
+        """Returns the outages that last, and those whose slow start has not ended."""
         return _active(self.outages.values(), stored_time())
 
     def outage_began(self, destination: int, endpoint: str, rate: float) -> None:
-        """Stored, if it was not in outage before."""
+        """Stores the outage, unless the destination or endpoint is in outage already."""
         if not self._in_outage(destination, endpoint):
             self._store(Outage(destination, endpoint, rate, None), stored_time())
 
     def outage_ended(self, destination: int, endpoint: str, rate: float, slow_start_us: int) -> None:
-        """It is in slow start for `slow_start_us` microseconds from now; nothing if it was not in outage."""
+        """Stores a slow start of `slow_start_us` microseconds from now, unless no outage was stored."""
         if self._in_outage(destination, endpoint):
             now = stored_time()
             self._store(Outage(destination, endpoint, rate, now + slow_start_us), now)
@@ -103,7 +104,7 @@
             return
         active = _active(self.outages.values(), now)
         self.outages = {(entry.destination, entry.endpoint): entry for entry in active}
-        self.outages.pop((outage.destination, outage.endpoint), None)  # it goes to the end
+        self.outages.pop((outage.destination, outage.endpoint), None)  # it is added again at the end
         self._add(outage)
         while len(self.outages) > MAX_OUTAGES:
             del self.outages[next(iter(self.outages))]
--- a/ashpath/server/storage/record_codec.py
+++ b/ashpath/server/storage/record_codec.py
@@ -1,19 +1,19 @@
-"""The write-ahead log's records: four types, and the only place that knows how they stand on disk.
+"""The four record types of the write-ahead log, and their format on disk, which only this module knows.
 
-A record on disk is its length (4 bytes, big endian), its CRC-32 (the same) and a payload: a line of JSON, a
-line feed, and the message's body, which only the first kind of record has. The line is a list:
+A record on disk is the length of its payload (4 bytes, big endian), the payload's CRC-32 (4 bytes, big
+endian) and the payload: a line of JSON, a line feed, and the message's body, which only `MessageSubmitted`
+has. The line is a list:
 
 | type | name on disk | further fields |
 | --- | --- | --- |
-| `MessageSubmitted` | `taken` | all fields of the message but its body, see `_submitted_fields` |
+| `MessageSubmitted` | `taken` | all stored fields of the message except its body, see `_submitted_fields` |
 | `AttemptStarted` | `shot` | message id, start in microseconds of the stored clock, endpoint |
 | `AttemptFinished` | `outcome` | message id, whether it may have run |
-| `MessageFinished` | `ended` | message id, the notice that is still owed or null |
+| `MessageFinished` | `ended` | message id, the notice that is still to be delivered or null |
 
-A record that is not whole (a torn write) or whose checksum is wrong is passed over, with all up to the next
-one that is whole; at the end of a log there is none. A record that
-is whole and not one of these was written by another version: it is refused, as a log that is rewritten
-without it would lose it.
+A reader skips a record that is incomplete (a torn write) or has a wrong checksum, with all bytes up to the
+next valid record; at the end of a log no valid record follows. A valid record of none of the four types was
+written by another version: the reader refuses it, since a rewrite of the log would lose it.
 """
 
 from __future__ import annotations
@@ -29,13 +29,14 @@
 from ashpath.server.storage.stored_message import StoredMessage
 
 HEADER_BYTES = 8  # length and checksum
-RECORD_START = b'["'  # of a payload: its line is a list that begins with a name
-MAX_RECORD_BYTES = 16 << 20  # guards memory against a length that was never written
+RECORD_START = b'["'  # the first bytes of a payload, whose line is a list that begins with a name
+MAX_RECORD_BYTES = 16 << 20  # bounds the memory that a corrupt length would make the reader allocate
 
 
-# Not frozen: one is made for each record that is written, and a frozen one takes twice as long to make.
+# The record classes are not frozen: an instance is created for each record that is written, and creating a
+# frozen instance takes twice as long.
 class MessageSubmitted(Struct):
-    """A message was accepted; or, in a log that was rewritten, it is live and stood so at that time."""
+    """A message was accepted; in a rewritten log, the state of a live message at the time of the rewrite."""
 
     disk_name: ClassVar[str] = "taken"
 
@@ -43,7 +44,7 @@
 
     @property
     def message_id(self) -> int:
-        """As the other records have it."""
+        """The message's id, under the same name as in the other records."""
         return self.message.message_id
 
     def encode(self) -> bytes:
@@ -52,13 +53,13 @@
 
 
 class AttemptStarted(Struct):
-    """An attempt is about to be sent."""
+    """An attempt is about to be sent to an endpoint."""
 
     disk_name: ClassVar[str] = "shot"
 
     message_id: int
     at: int
-    """Microseconds of the stored clock."""
+    """Start in microseconds of the stored clock."""
     endpoint: str
 
     def encode(self) -> bytes:
@@ -67,7 +68,7 @@
 
 
 class AttemptFinished(Struct):
-    """The attempt in flight has its outcome, and the message has no final state yet."""
+    """The attempt in flight has ended, and the message has no final state yet."""
 
     disk_name: ClassVar[str] = "outcome"
 
@@ -80,7 +81,7 @@
 
 
 class MessageFinished(Struct):
-    """The message has its final state; with a notice it stays live until a second record without one."""
+    """The message has its final state; with a notice it stays live until a second record without a notice."""
 
     disk_name: ClassVar[str] = "ended"
 
@@ -116,7 +117,7 @@
 
 
 def _submitted(fields: list[Any], body: bytes) -> MessageSubmitted:
-    values = [*fields[1:8], body, *fields[8:]]  # the body stands behind the deadline
+    values = [*fields[1:8], body, *fields[8:]]  # the body follows the deadline
     return MessageSubmitted(StoredMessage(*values))
 
 
@@ -135,13 +136,13 @@
 
 
 def encode_fields(fields: list[Any], body: bytes = b"") -> bytes:
-    """A record on disk with this line of JSON, whether it is one of ours or not."""
+    """Returns the bytes on disk of a record with these fields, which need not be those of a known type."""
     payload = orjson.dumps(fields) + b"\n" + body
     return len(payload).to_bytes(4, "big") + crc32(payload).to_bytes(4, "big") + payload
 
 
 def _decode(line: bytes, body: bytes) -> Record | None:
-    """None: whole, and not a record of this version."""
+    """Returns the record, or None if it is not a record of this version."""
     try:
         fields = orjson.loads(line)
         if not isinstance(fields, list) or len(fields) != FIELD_COUNTS[fields[0]]:
@@ -156,16 +157,16 @@
 
 
 class RecordReader:
-    """All whole records of a log with the bytes that each takes, in order.
+    """Iterates over the valid records of a log in order, each with its size on disk in bytes.
 
-    Raises ForeignRecordError. Once iterated, `fault` says what was wrong with the first record that is not
-    whole, `valid_bytes` is the offset at which it stands (the end of the file, where there is none), and
-    `skipped_bytes` counts what was passed over between records that are whole.
+    Raises ForeignRecordError at a valid record of another version. After the iteration, `fault` describes
+    the first record that is not valid, `valid_bytes` is the offset of that record (the end of the file if all
+    records are valid), and `skipped_bytes` counts the bytes that were skipped between valid records.
     """
 
     def __init__(self, file: BinaryIO) -> None:
         self.file = file
-        self.offset = 0  # of the record that is read
+        self.offset = 0  # of the current record
         self.valid_bytes = 0
         self.skipped_bytes = 0
         self.fault = ""
@@ -189,7 +190,7 @@
                 self.valid_bytes = self.offset
 
     def _read_payload(self, header: bytes) -> bytes | None:
-        """None, and `fault` says why, where the record is not whole."""
+        """Returns the payload; notes a fault and returns None if the record is not valid."""
         if len(header) < HEADER_BYTES:
             self._note_fault(f"torn: {len(header)} of {HEADER_BYTES} bytes")
             return None
@@ -210,7 +211,7 @@
         self.fault = self.fault or fault
 
     def _skip_to_next_record(self) -> bool:
-        """Goes on to the next whole record behind the one that is not; False where there is none."""
+        """Moves to the next valid record after an invalid one; returns False if none follows."""
         self.file.seek(self.offset)
         rest = self.file.read()
         found = find_record(rest)
@@ -223,9 +224,10 @@
 
 
 def find_record(data: bytes) -> int:
-    """Where the first whole record stands behind a torn one at the start; 0 where there is none.
+    """Returns the offset of the first valid record after a torn record at the start of `data`, or 0.
 
-    A body may hold the bytes of a record. One from which whole records follow up to the end comes first.
+    The body of the torn record may contain the bytes of a record, so an offset from which valid records
+    follow up to the end of `data` takes precedence over an earlier one.
     """
     first = 0
     at = data.find(RECORD_START, HEADER_BYTES + 1)
@@ -241,7 +243,7 @@
 
 
 def valid_records_end(data: bytes, offset: int) -> int:
-    """The end of the last whole record of those that begin at the offset."""
+    """Returns the end of the last of the consecutive valid records that begin at the offset."""
     while offset < len(data):
         size = int.from_bytes(data[offset : offset + 4], "big")
         payload = data[offset + HEADER_BYTES : offset + HEADER_BYTES + size]
--- a/ashpath/server/storage/shared_memory.py
+++ b/ashpath/server/storage/shared_memory.py
@@ -1,15 +1,15 @@
-"""What binds every process of a sender at once: Retry-After notices, and changes of detached endpoints.
-
-Theory of operation. To the rules, the two processes of a hot upgrade are one sender. Each holds one of
-MAX_PROCESSES files of the state directory, `board-0` and so on: locked for as long as it lives, and mapped
-to write. It maps the others to read. A notice is a record stored in memory that the kernel shares: it binds
-the other processes from their next look, which each batch of the policy takes, and each attempt before its
-first byte; and it outlives its writer however that ends. A look compares two counters in memory, so nothing
-is read on a day without a hot upgrade.
-
-A record is whole before its counter moves (`shared_memory_layout.py`). The disk for a file is taken when it
-is made, since a store into a mapped hole on a full disk would end the process. Where MAX_NOTICES are
-running, the one that ends first gives way.
+"""Memory that the processes of one sender share: Retry-After notices, and changes of detached endpoints.
+
+Theory of operation. The rules treat the two processes of a hot upgrade as one sender. Each process owns one
+of MAX_PROCESSES files of the state directory, `board-0` and so on, which it locks for its lifetime and maps
+for writing. It maps the other files for reading. A notice is a record in memory that the kernel shares. It
+applies to the other processes from their next check, which each batch of the policy makes, and each attempt
+before its first byte; and it outlives its writer even if that is killed. A check compares two counters in
+memory, so no records are read while no hot upgrade takes place.
+
+A record is complete before its counter changes (`shared_memory_layout.py`). The disk space of a file is
+allocated when the file is created, since a store into a mapped hole on a full disk would end the process. If
+MAX_NOTICES notices are in force, a new one replaces the notice that ends first.
 """
 
 from __future__ import annotations
@@ -38,38 +38,38 @@
     record_slice,
 )
 
-MAX_PROCESSES = 3  # an old process, a new one, and one more that was killed and is not gone yet
+MAX_PROCESSES = 3  # an old process, a new one, and one that was killed and has not ended yet
 ZERO_COUNTERS = bytes(COUNTERS.stop - COUNTERS.start)
 
 
 class PublishedUpdates(Struct, frozen=True):
-    """What other processes have published since the last look."""
+    """The updates that other processes have published since the last check."""
 
     notices: list[RetryAfterNotice]
-    """Those that still run."""
+    """The notices that have not ended."""
     detached_changed: bool
-    """The file of detached endpoints may have changed."""
+    """Whether the file of detached endpoints may have changed."""
 
 
 class SharedMemory:
-    """This process's memory and the view of the others'."""
+    """The memory that this process writes, and read-only views of the other processes' memory."""
 
     def __init__(self, directory: Path, max_processes: int = MAX_PROCESSES) -> None:
-        """`max_processes`: 1 where no other process can serve beside this one.
+        """`max_processes`: 1 if no other process can serve beside this one.
 
-        Without a free file, or without disk for it, `own` stays None: this process reads what the others
-        publish, and they do not receive what it does.
+        Without a free file, or without disk space for the file, `own` stays None: this process receives the
+        updates of the others, and its own updates do not reach them.
         """
         self.own: mmap.mmap | None = None
-        self.counters = Counters(0, 0)  # of the own memory
+        self.counters = Counters(0, 0)  # of this process's memory
         self._others: list[mmap.mmap] = []
-        self._lock = -1  # a descriptor of the own file, which keeps its lock
-        self._ends = [0] * MAX_NOTICES  # of the own records; 0: never used
-        self._indexes: dict[tuple[int, str], int] = {}  # of the own records, by destination and endpoint
+        self._lock = -1  # a descriptor of this process's file, which holds its lock
+        self._ends = [0] * MAX_NOTICES  # ends of this process's notices by index; 0: never used
+        self._indexes: dict[tuple[int, str], int] = {}  # of the same notices, by destination and endpoint
         for number in range(max_processes):
-            with suppress(OSError):  # no disk: that file is not to be had
+            with suppress(OSError):  # a file without disk space is left out
                 self._open(directory / f"board-{number}")
-        self._seen = [ZERO_COUNTERS for _ in self._others]  # the others' counters at the last look
+        self._seen = [ZERO_COUNTERS for _ in self._others]  # the others' counters at the last check
         self._recovered: list[RetryAfterNotice] = []
         if self.own is not None:
             self._recover(self.own)
@@ -88,8 +88,8 @@
             os.close(file)
 
     def _recover(self, own: mmap.mmap) -> None:
-        """What the memory's last owner published, an earlier incarnation or a process that is just gone, is
-        received by this one and goes on to bind the others."""
+        """Recovers the notices of the memory's last owner, an earlier incarnation or a process that has just
+        ended: this process receives them, and they stay in force for the others."""
         notices = read_notices(own)
         self._recovered = list(notices.values())
         if has_magic(own):
@@ -102,9 +102,9 @@
             self._indexes[notice.destination, notice.endpoint] = index
 
     def publish_retry_after(self, destination: int, endpoint: str, end: int) -> None:
-        """A notice that this process received; `end` in microseconds of the stored clock.
+        """Publishes a notice that this process received; `end` in microseconds of the stored clock.
 
-        Nothing where one with the same or a later end stands for the same endpoint.
+        Does nothing if a notice for the same endpoint with the same or a later end is published already.
         """
         if self.own is None:
             return
@@ -120,7 +120,7 @@
         self._publish(Counters(self.counters.notices + 1, self.counters.detached_changes))
 
     def publish_detached_change(self) -> None:
-        """This process has written the file of detached endpoints."""
+        """Publishes that this process has written the file of detached endpoints."""
         self._publish(Counters(self.counters.notices, self.counters.detached_changes + 1))
 
     def _publish(self, counters: Counters) -> None:
@@ -135,13 +135,13 @@
         )
 
     def updates(self, now: int) -> PublishedUpdates:
-        """What others have published since the last look; `now` in microseconds of the stored clock."""
+        """Returns the others' updates since the last check; `now` in microseconds of the stored clock."""
         notices = self._recovered
         self._recovered = []
         detached_changed = False
         for number, other in enumerate(self._others):
             seen = self._seen[number]
-            counters = other[COUNTERS]  # before the records: one that comes meanwhile is seen the next time
+            counters = other[COUNTERS]  # read before the records, so that the next check finds later ones
             if counters != seen:
                 detached_changed = detached_changed or counters[DETACHED_COUNTER] != seen[DETACHED_COUNTER]
                 self._seen[number] = counters
@@ -149,7 +149,7 @@
         return PublishedUpdates([notice for notice in notices if notice.end > now], detached_changed)
 
     def close(self) -> None:
-        """Another process may have the own file. What is published in it goes on to bind."""
+        """Releases this process's file for another process. The published notices stay in force."""
         for memory in (self.own, *self._others):
             if memory is not None:
                 memory.close()
@@ -158,7 +158,7 @@
 
 
 def remove_files(directory: Path, count: int) -> None:
-    """What processes of an earlier boot published binds nobody."""
+    """Removes the files of an earlier boot, whose notices are not valid any more."""
     for number in range(count):
         with suppress(OSError):
             (directory / f"board-{number}").unlink()
--- a/ashpath/server/storage/shared_memory_layout.py
+++ b/ashpath/server/storage/shared_memory_layout.py
@@ -1,21 +1,21 @@
 """Layout of the memory that processes of a hot upgrade share: a header, and records of Retry-After notices.
 
-| bytes | header |
+| bytes of the header | content |
 | --- | --- |
-| 0-7 | MAGIC; memory without it is foreign, and has no records |
-| 8-15 | how many notices were published, little endian |
-| 16-23 | how often this process changed the detached endpoints |
+| 0-7 | MAGIC; memory without it is foreign and counts as having no records |
+| 8-15 | number of notices published, little endian |
+| 16-23 | number of changes of the detached endpoints that this process made, little endian |
 | 24-63 | unused |
 
-| bytes of a record | |
+| bytes of a record | content |
 | --- | --- |
-| 0-3 | CRC-32 of the rest; a record that fails it binds nobody, so a torn one does no harm |
-| 4-11 | end of the notice, microseconds of the stored clock; 0: the record was never used |
+| 0-3 | CRC-32 of the rest; a record with a wrong one, such as a torn record, is ignored |
+| 4-11 | end of the notice in microseconds of the stored clock; 0: the record was never used |
 | 12-19 | destination |
-| 20 | bytes of the endpoint's id |
-| 21-63 | the id in UTF-8; empty: the notice binds the whole destination |
+| 20 | length of the endpoint's id in bytes |
+| 21-63 | the id in UTF-8; empty: the notice applies to the whole destination |
 
-The layout is stored data: processes of two releases read each other's in a hot upgrade.
+The layout is stored data: the processes of two releases read each other's memory in a hot upgrade.
 """
 
 from __future__ import annotations
@@ -39,35 +39,36 @@
 
 
 class RetryAfterNotice(Struct, frozen=True):
-    """An endpoint, or a whole destination, asked for no attempts until a time."""
+    """An endpoint, or a whole destination, asked to receive no attempts until a time."""
 
     destination: int
     endpoint: str
-    """Empty: the whole destination."""
+    """Endpoint id; empty for the whole destination."""
     end: int
-    """Microseconds of the stored clock."""
+    """End of the notice in microseconds of the stored clock."""
 
 
 class Counters(NamedTuple):
-    """What another process compares to see that something was published."""
+    """The counters by which another process detects that updates were published."""
 
     notices: int
     detached_changes: int
 
 
 def record_slice(index: int) -> slice:
-    """Where the record stands in the memory."""
+    """Returns the position of a record in the memory."""
     start = HEADER.size + index * RECORD.size
     return slice(start, start + RECORD.size)
 
 
 def encode_header(counters: Counters) -> bytes:
-    """The first bytes of the memory."""
+    """Returns the bytes of the header."""
     return HEADER.pack(MAGIC, counters.notices, counters.detached_changes)
 
 
 def encode_notice(notice: RetryAfterNotice) -> bytes:
-    """One record. An endpoint whose id is too long is left out: its whole destination is bound."""
+    """Returns the bytes of one record. An endpoint id that is too long is left out: the notice then applies
+    to the whole destination."""
     endpoint = notice.endpoint.encode()
     if len(endpoint) > MAX_ENDPOINT_BYTES:
         endpoint = b""
@@ -76,18 +77,18 @@
 
 
 def has_magic(memory: mmap) -> bool:
-    """Whether a process has used it before."""
+    """Whether a process of a sender has initialized the memory."""
     return memory[: len(MAGIC)] == MAGIC
 
 
 def read_counters(memory: mmap) -> Counters:
-    """Of memory that is ours."""
+    """Returns the counters of memory that has the magic number."""
     _, notices, detached_changes = HEADER.unpack_from(memory)
     return Counters(notices, detached_changes)
 
 
 def read_notices(memory: mmap) -> dict[int, RetryAfterNotice]:
-    """The sound records by index; none of foreign memory."""
+    """Returns the notices with a valid checksum by index; none from memory without the magic number."""
     if not has_magic(memory):
         return {}
     notices = {}
--- a/ashpath/server/storage/state_directory.py
+++ b/ashpath/server/storage/state_directory.py
@@ -1,9 +1,10 @@
-"""The state directory of a standalone sender: whose it is, which version's, and its traffic class ids.
+"""The state directory of a standalone sender: its owner, its version and its traffic class ids.
 
-`lock` is held as long as the process lives, and has its process id for whoever is refused. `imprint` is
-JSON, `{"version": 1, "sender": name, "tracks": [rows]}`: the rows of the traffic classes stand in the order
-of their ids, since the records of the write-ahead log have ids only. A directory of another sender, of
-another version, or with a log whose ids nobody can name any more, is refused and left as it is.
+The process holds the file `lock` for its lifetime, and the file has the process's id for the error message of
+a second sender. `imprint` is JSON, `{"version": 1, "sender": name, "tracks": [rows]}`, with the rows of the
+traffic classes in the order of their ids, since the records of the write-ahead log have ids only. A directory
+of another sender or of another version is refused and left unchanged; so is a directory that has live
+messages and no imprint that names their traffic classes.
 """
 
 from __future__ import annotations
@@ -27,10 +28,13 @@
 
 
 class StateDirectory:
-    """Locked from its making until `close`. Raises StateDirectoryError where this sender cannot have it."""
+    """The state directory, locked from construction until `close`.
+
+    Raises StateDirectoryError if another sender uses or owns the directory, or if it cannot be read.
+    """
 
     def __init__(self, path: Path, sender: str) -> None:
-        """`sender`: the name that the imprint must have."""
+        """`sender`: the name of this sender, which an existing imprint must have too."""
         self.path = path
         self.sender = sender
         self.imprint = path / IMPRINT_FILE
@@ -53,7 +57,7 @@
             raise StateDirectoryError.of_directory(self.path, f"in use by another sender, process {holder}")
 
     def _read_imprint(self) -> list[dict[str, Any]]:
-        """The traffic classes by id, as the platform's settings write them; none where none were stored."""
+        """Returns the traffic classes by id, in the form of the platform's settings; [] if none exist."""
         try:
             content = orjson.loads(self.imprint.read_bytes())
             version = content["version"]
@@ -61,21 +65,21 @@
             traffic_classes = list(content["tracks"])
         except FileNotFoundError as error:
             if self.live_messages():
-                reason = "its journal has no imprint beside it"
+                reason = "no imprint names the traffic classes of the journal's live messages"
                 raise StateDirectoryError.of_directory(self.path, reason) from error
             return []
         except (OSError, ValueError, KeyError, TypeError) as error:
             raise StateDirectoryError.of_file(self.imprint, f"cannot be read: {error}") from error
         if version != VERSION:
-            reason = f"written by version {version}, this one reads {VERSION}"
+            reason = f"found format version {version}, expected {VERSION}"
             raise StateDirectoryError.of_file(self.imprint, reason)
         if sender != self.sender:
-            reason = f"the folder of sender {sender!r}, not of {self.sender!r}"
+            reason = f"belongs to sender {sender!r}, not to {self.sender!r}"
             raise StateDirectoryError.of_file(self.imprint, reason)
         return traffic_classes
 
     def live_messages(self) -> int:
-        """How many messages the log holds. Raises StateDirectoryError."""
+        """Returns the number of live messages in the log. Raises StateDirectoryError if it cannot be read."""
         log = self.path / FIRST_LOG
         messages = LiveMessages()
         try:
@@ -88,7 +92,10 @@
         return len(messages.live)
 
     def write(self, traffic_classes: list[dict[str, Any]]) -> None:
-        """Before a message is accepted under them; as a whole or not at all. Raises StateDirectoryError."""
+        """Writes the process id and the imprint, before a message is accepted under these traffic classes.
+
+        The imprint is replaced atomically. Raises StateDirectoryError if a file cannot be written.
+        """
         content = {"version": VERSION, "sender": self.sender, "tracks": traffic_classes}
         try:
             os.truncate(self._lock.descriptor, 0)
@@ -99,5 +106,5 @@
             raise StateDirectoryError.of_directory(self.path, error.strerror) from error
 
     def close(self) -> None:
-        """Another sender may take the directory."""
+        """Releases the lock, so that another sender may use the directory."""
         self._lock.release()
--- a/ashpath/server/storage/stored_clock.py
+++ b/ashpath/server/storage/stored_clock.py
@@ -1,18 +1,19 @@
-"""The clock of times that outlive the process: spans of real time, whatever is done to the wall clock.
+"""The stored clock: the clock of times that outlive the process, unaffected by steps of the wall clock.
 
-Within one boot of the machine the monotonic clock runs on over restarts of a process, and nobody steps it. So
-stored times are monotonic ones, moved by an offset that is settled once for each boot and kept in the state
-directory: the difference to the wall clock as the first process of that boot started. They read like times of
-the wall clock, as those of earlier releases were, and a step of it changes neither deadline nor window.
+Within one boot of the machine the monotonic clock continues across restarts of a process and is never
+stepped. Stored times are therefore monotonic times plus an offset, which is determined once per boot and
+stored in the state directory: the difference to the wall clock when the first process of that boot started.
+Stored times look like times of the wall clock, as those of earlier releases were, and a step of the wall
+clock changes neither deadlines nor deduplication windows.
 
 | the file `clock` | the offset |
 | --- | --- |
-| is of this boot | as it says |
-| is of another boot, missing, or cannot be read | taken anew from the wall clock, and written |
-| cannot be written | taken anew, for this process alone; said in the log |
+| is of this boot | is read from the file |
+| is of another boot, missing, or cannot be read | is computed from the wall clock, and written |
+| cannot be written | is computed for this process alone, with a warning in the log |
 
-On another boot only the wall clock is left to tell how long the machine was off. Times read there are bounded
-by whoever knows their span: a deadline by that of its traffic class.
+After another boot only the wall clock tells how long the machine was off. The code that reads a stored time
+then bounds it by the longest span it can have: a deadline by that of its traffic class.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class ClockOrigin(Enum):
-    """Where the offset is from."""
+    """The origin of this process's offset."""
 
     SAME_BOOT = "same boot"
     OTHER_BOOT = "other boot"
@@ -41,31 +42,35 @@
 
 
 class ClockOffset(Struct, frozen=True):
-    """One boot's."""
+    """The offset of one boot."""
 
     boot: str
-    """The kernel's id of the boot; empty where it has none."""
+    """The kernel's id of the boot; empty if the kernel has none."""
     offset_us: int
-    """Microseconds from the monotonic clock to stored times."""
+    """Microseconds to add to the monotonic clock for a stored time."""
     settled_at_us: int
-    """Microseconds of the monotonic clock: a process that reads an earlier time is of another boot."""
+    """Time of the computation by the monotonic clock in microseconds; a process that reads an earlier time
+    runs in another boot."""
 
     @classmethod
     def of_row(cls, row: list[object]) -> ClockOffset:
-        """As the file has it. Raises ValueError, TypeError."""
+        """Returns the offset of one row of the file. Raises ValueError or TypeError if the row is invalid."""
         boot, offset_us, settled_at_us = row
         if not isinstance(offset_us, int) or not isinstance(settled_at_us, int):
-            reason = "an offset that is no whole number"
+            reason = "the offset or its time is not an integer"
             raise TypeError(reason)
         return cls(str(boot), offset_us, settled_at_us)
 
     def is_of_boot(self, boot: str) -> bool:
-        """Whether the machine has not been started since."""
+        """Whether the offset is of the current boot, whose id is `boot`."""
         return bool(boot) and boot == self.boot and timers.now() >= self.settled_at_us
 
 
 def settle_stored_clock(directory: Path, logger: Logger) -> ClockOrigin:
-    """Settles the offset of this process before it reads a stored time. Raises nothing."""
+    """Sets the offset of this process, before any stored time is read, and returns its origin.
+
+    Raises no error: without a usable file the offset comes from the wall clock.
+    """
     file = VersionedFile(directory / FILE_NAME, version=VERSION, rows_name="boots", contents="clock")
     boot = boot_id()
     stored = read_offset(file)
@@ -86,7 +91,7 @@
 
 
 def read_offset(file: VersionedFile) -> ClockOffset | None:
-    """None where there is none that can be read."""
+    """Returns the stored offset, or None if there is none or it cannot be read."""
     try:
         return ClockOffset.of_row(file.read_rows()[0])
     except (*READ_ERRORS, IndexError):
@@ -94,7 +99,7 @@
 
 
 def boot_id() -> str:
-    """Empty where the kernel tells none."""
+    """Returns the kernel's id of the current boot, or an empty string if it cannot be read."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
--- a/ashpath/server/storage/stored_message.py
+++ b/ashpath/server/storage/stored_message.py
@@ -1,4 +1,4 @@
-"""A message as it is stored: what the client sent, and what a later incarnation must know of its attempts."""
+"""A message as it is stored: the client's data, and the state of its attempts for a later incarnation."""
 
 from __future__ import annotations
 
@@ -6,42 +6,42 @@
 
 
 class StoredMessage(Struct, eq=False):
-    """One accepted message, from the log's first record of it until its last.
+    """One accepted message, from its first record in the log until its last.
 
     All times are microseconds of the stored clock (`stored_clock.py`), since they have to outlive the
-    process. The fields before `attempts` never change, but for the id of a message that is adopted from
+    process. The fields before `attempts` never change, except for the id of a message that is adopted from
     another process's log.
     """
 
     message_id: int
-    """Number of the message in this log, and towards the policy. 0 until it is submitted."""
+    """Id of the message in this log and in calls to the policy; 0 until the message is submitted."""
 
     trace_id: str
-    """The client's id of the message: at most one message with it is live."""
+    """The client's id of the message; at most one message with this id is live."""
 
     traffic_class: int
-    """Number of its traffic class; the state directory has the names."""
+    """Id of the traffic class; the state directory has the names."""
 
     destination: int
-    """Number of the destination that it is for."""
+    """Number of the destination."""
 
     ordering_key: int | None
-    """Messages of one key are delivered in order; None where order does not matter."""
+    """Messages with the same key are delivered in order; None if order does not matter."""
 
     idempotency_key: str | None
-    """Handed to the endpoint with each attempt; None where the traffic class has none."""
+    """Sent to the endpoint with each attempt; None if the traffic class has none."""
 
     deadline: int
-    """When its delivery is of no more use."""
+    """Time from which delivery has no value."""
 
     body: bytes
     """The payload of the request, unchanged."""
 
     attempts: int = 0
-    """How many attempts were started."""
+    """Number of attempts started."""
 
     first_run_at: int | None = None
-    """Start of the first attempt that may have run at an endpoint; None while none may have."""
+    """Start of the first attempt that may have run at an endpoint; None if no attempt may have run."""
 
     first_run_endpoint: str = ""
     """The endpoint of that attempt."""
@@ -53,10 +53,10 @@
     """The endpoint of that attempt."""
 
     notice: str | None = None
-    """The line that reports its final state; kept until the receiver of notices has it."""
+    """The line that reports the final state; kept until the receiver of notices has accepted it."""
 
     finished: bool = False
-    """It has its final state, and only its notice keeps it in the log."""
+    """Whether the message has its final state, and stays in the log only for its notice."""
 
     reserved_bytes: int = 0
-    """What it may take in a log that is rewritten, at most. Not stored."""
+    """Upper bound of the bytes that the message takes in a rewritten log. Not stored."""
--- a/ashpath/server/storage/traffic_class_ids.py
+++ b/ashpath/server/storage/traffic_class_ids.py
@@ -1,9 +1,9 @@
-"""What the traffic class ids of the write-ahead log stand for, once a running sender switched settings.
+"""The traffic classes of the ids in the write-ahead log, after a running sender has switched settings.
 
-One file of the state directory, `track-numbers`: JSON, `{"version": 1, "tracks": [rows]}`, the rows of the
-platform's settings in the order of the ids. It is replaced as a whole, before a message is accepted under
-the new settings, and is not there until a switch. A start with an empty log removes it. A sender with a
-configuration file of its own has the imprint in place of it (`state_directory.py`).
+The file `track-numbers` of the state directory is JSON, `{"version": 1, "tracks": [rows]}`, with the rows of
+the platform's settings in the order of the ids. The file does not exist before a switch; a switch replaces it
+atomically before a message is accepted under the new settings, and a start with an empty log removes it. A
+sender with a configuration file of its own has the imprint instead (`state_directory.py`).
 """
 
 from __future__ import annotations
@@ -29,7 +29,10 @@
         self._temporary = directory / f"{FILE_NAME}.new"
 
     def read(self) -> list[dict[str, Any]]:
-        """The traffic classes by id; none before any switch. Raises OSError, TrafficClassIdsError."""
+        """Returns the traffic classes by id; [] before any switch.
+
+        Raises TrafficClassIdsError if the content is invalid, and OSError if the file cannot be read.
+        """
         try:
             rows = self._file.read_rows()
             self._check(rows)
@@ -44,9 +47,9 @@
             raise self._file.foreign_file_error()
 
     def write(self, traffic_classes: list[dict[str, Any]]) -> None:
-        """Raises OSError: the file is then as it was."""
+        """Replaces the file. Raises OSError if that fails, in which case the file is unchanged."""
         replace_file(self._file.path, self._file.encode(traffic_classes), self._temporary)
 
     def remove(self) -> None:
-        """Nothing in the log needs it any more. Raises OSError."""
+        """Removes the file, once no message in the log needs it. Raises OSError if that fails."""
         self._file.path.unlink(missing_ok=True)
--- a/ashpath/server/storage/versioned_file.py
+++ b/ashpath/server/storage/versioned_file.py
@@ -1,4 +1,4 @@
-"""Small JSON files of rows, `{"version": 1, NAME: [rows]}`: how they are read, and what they look like."""
+"""Small JSON files of rows with a version number, `{"version": 1, NAME: [rows]}`."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 
 from ashpath.server.storage.errors import ForeignFileError
 
-READ_ERRORS = (OSError, ValueError, KeyError, TypeError)  # what `read_rows` and a look at the rows may raise
+READ_ERRORS = (OSError, ValueError, KeyError, TypeError)  # raised by `read_rows` and by checks of the rows
 
 
 class VersionedFile:
-    """One such file. It is written by `atomic_file`, with the bytes of `encode`."""
+    """One versioned file. `atomic_file` writes it, with the bytes that `encode` returns."""
 
     def __init__(self, path: Path, *, version: int, rows_name: str, contents: str) -> None:
-        """`rows_name`: the JSON field of the rows; `contents`: what they are, for the message of an error."""
+        """`rows_name`: the JSON field of the rows; `contents`: the kind of content, for error messages."""
         self.path = path
         self.version = version
         self.rows_name = rows_name
         self.contents = contents
 
     def read_rows(self) -> list[Any]:
-        """The rows, of any JSON type: the caller checks them.
+        """Returns the rows, which may have any JSON type: the caller checks them.
 
-        Raises FileNotFoundError; one of READ_ERRORS, ForeignFileError among them.
+        Raises FileNotFoundError if the file does not exist, ForeignFileError if it has another version, and
+        another of READ_ERRORS if it cannot be read.
         """
         content = orjson.loads(self.path.read_bytes())
         if content["version"] != self.version:
@@ -34,9 +35,9 @@
         return rows
 
     def encode(self, rows: list[Any]) -> bytes:
-        """The content of the file."""
+        """Returns the content of a file with these rows."""
         return orjson.dumps({"version": self.version, self.rows_name: rows})
 
     def foreign_file_error(self) -> ForeignFileError:
-        """For rows that this version does not write."""
+        """Returns the error for content that this version does not write."""
         return ForeignFileError(self.contents)
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -1,25 +1,26 @@
-"""The write-ahead log: no message is accepted and no attempt sent before its record is in the kernel's hands.
+"""The write-ahead log: a message is accepted, and an attempt sent, only after its record has been written.
 
 Theory of operation. The log is the table of live messages (`live_messages.py`) and a file of records
-(`log_file.py`, `record_codec.py`) from which the next incarnation makes the same table. A record is written
-first and applied to the table after. When the file has grown so far that it and a copy of what is live would
-no longer fit into `max_bytes`, it is rewritten with the live messages alone. A message is accepted only while
-there is room to do so at any later time, so a rewrite never lacks the disk.
+(`log_file.py`, `record_codec.py`) from which the next incarnation rebuilds the table. A record is first
+written and then applied to the table. When the file and a copy of the live messages would no longer fit into
+`max_bytes`, the file is rewritten with the live messages alone. A message is accepted only while a rewrite
+would fit at any later time, so a rewrite never exceeds the limit of the disk.
 
-| write fails | what happens |
+| failed write | effect |
 | --- | --- |
 | `record_submitted` | the message is not accepted |
-| `record_attempt` | raised: an attempt without a record could run twice after a restart |
-| `record_outcome`, `record_finished` | counts in this incarnation, and the log is incomplete |
-| the rewrite at the start | the log is incomplete: what is live in it is kept as it stands |
-
-An incomplete log is rewritten before anything else is appended, and by `repair` as soon as the disk takes it:
-an attempt recorded behind a missing outcome would hide that the one before it may have run. A kill until then
-leaves an attempt that may have run, or a notice that is sent once more.
-
-Logs of other processes that are gone are adopted (`log_directory.py`): their live messages get new ids, are
-written into this log, and only then is the other one emptied. A kill in between leaves a message in both,
-so a trace id that is live already is not adopted again.
+| `record_attempt` | the error is raised: an attempt without a record could run twice after a restart |
+| `record_outcome`, `record_finished` | the event applies in this incarnation, and the log is incomplete |
+| the rewrite at the start | the log is incomplete; its live messages stay in the file unchanged |
+
+An incomplete log is rewritten before any further record is appended, and by `repair` as soon as a rewrite
+succeeds: an attempt recorded after a missing outcome would hide that the attempt before it may have run. If
+the process is killed before that, the next incarnation finds an attempt that may have run, or sends a notice
+a second time.
+
+The logs of processes that have ended are adopted (`log_directory.py`): their live messages get new ids and
+are written to this log, and only then is the other log emptied. A kill in between leaves a message in both
+logs, so a message whose trace id is live already is not adopted again.
 """
 
 from __future__ import annotations
@@ -41,30 +42,31 @@
 from ashpath.server.storage.stored_message import StoredMessage
 
 NO_OP_RECORD = MessageFinished(0, None).encode()  # no message has this id
-REWRITE_FACTOR = 2.1  # the old and the new file fit beside each other, and a twentieth is left to append to
+REWRITE_FACTOR = 2.1  # room for the old file, the new file, and a twentieth of them for further records
 
 
 class WriteAheadLog:
-    """The log of one process, and what is live in it: its own messages, and those adopted from orphans.
+    """The log of one process, and its live messages: its own, and those adopted from orphaned logs.
 
-    Raises OSError, LogLockedError and ForeignRecordError at its start.
+    The constructor raises LogLockedError if the log is locked, ForeignRecordError if another version wrote
+    a record of the log, and OSError if the log cannot be opened or read.
     """
 
     def __init__(self, directory: Path, max_bytes: int) -> None:
-        """`max_bytes`: of disk, for this log, its copy while it is rewritten, and logs of other processes."""
+        """`max_bytes`: the disk limit for this log, its copy during a rewrite, and other processes' logs."""
         self.max_bytes = max_bytes
         self.messages = LiveMessages()
-        """Others only read it: a change comes with its record, through this class."""
-        self.other_logs_bytes = 0  # what the logs of other processes may need, as of the last `adopt`
+        """Read-only for other classes: only this class changes the table, together with the log."""
+        self.other_logs_bytes = 0  # bytes that other processes' logs may need, as of the last `adopt`
         self._directory = LogDirectory(directory)
         claimed = self._directory.claim()
         self._lock = claimed.lock
         self.file = LogFile(claimed.path)
-        self.incomplete = False  # the file lacks records that count here
+        self.incomplete = False  # the file lacks records that are applied to `messages`
         self.skipped_bytes = (
-            0  # of the log that this process took over: torn records, with others behind them
+            0  # bytes of torn records that were skipped as the claimed log was read, before valid records
         )
-        self._copied: set[Path] = set()  # orphans that could not be emptied once this log had their messages
+        self._copied: set[Path] = set()  # orphans whose messages are in this log and that are not emptied yet
         if claimed.path.exists():
             self._read(claimed.path)
         with suppress(OSError):
@@ -82,9 +84,10 @@
             self.skipped_bytes = reader.skipped_bytes
 
     def adopt(self) -> list[StoredMessage]:
-        """The live messages of logs whose process is gone, now this one's, with new ids. Raises OSError.
+        """Adopts the live messages of logs whose process has ended, and returns them with their new ids.
 
-        A log that cannot be read is left as it is, for `ashpath ledger` to show.
+        A log that cannot be read is left unchanged, for inspection by `ashpath ledger`. Raises OSError if the
+        state directory cannot be read or a lock file cannot be opened.
         """
         adopted: list[StoredMessage] = []
         for orphan in self._directory.orphans(self.file.path):
@@ -96,8 +99,8 @@
         return adopted
 
     def _adopt_log(self, path: Path) -> list[StoredMessage]:
-        """Of one orphan, whose lock is held; none where it cannot be read, or this log not be written: then
-        it is tried again."""
+        """Adopts the messages of one orphan, whose lock is held; the result is empty if the orphan cannot be
+        read or this log cannot be written. The next `adopt` tries again then."""
         orphaned = LiveMessages()
         try:
             if path not in self._copied:
@@ -112,7 +115,7 @@
             for message in adopted:
                 self.messages.discard(message)
             return []
-        self._copied.add(path)  # it must not be adopted again once they are finished here
+        self._copied.add(path)  # must not be adopted again once its messages are finished here
         with suppress(OSError):
             clear_adopted(path)
             self._copied.discard(path)
@@ -128,7 +131,7 @@
         return adopted
 
     def record_submitted(self, message: StoredMessage) -> bool:
-        """False: there is no room for it, and nothing was written."""
+        """Records an accepted message; returns False if the log has no room for it or the write fails."""
         data = MessageSubmitted(message).encode()
         needed = self.messages.reserved_bytes + reserved_bytes(message, len(data))
         if REWRITE_FACTOR * needed > self.max_bytes - BLOCK_BYTES - self.other_logs_bytes:
@@ -141,17 +144,20 @@
         return True
 
     def record_attempt(self, message: StoredMessage, at: int, endpoint: str) -> None:
-        """Before it is sent, at `at` by the stored clock in microseconds. Raises OSError."""
+        """Records an attempt before it is sent; `at` in microseconds of the stored clock.
+
+        Raises OSError if the record cannot be written: the attempt must not be sent then.
+        """
         record = AttemptStarted(message.message_id, at, endpoint)
         self._append(record.encode())
         self.messages.apply(record)
 
     def record_outcome(self, message: StoredMessage, *, may_have_run: bool) -> None:
-        """The attempt in flight is over, and the message may be sent again."""
+        """Records that the attempt in flight has ended and that the message may be sent again."""
         self._record_if_live(AttemptFinished(message.message_id, may_have_run))
 
     def record_finished(self, message: StoredMessage, notice: str | None = None) -> None:
-        """It has its final state. With a notice it stays live until a second call without one."""
+        """Records the final state. With a notice, the message stays live until a second call without one."""
         self._record_if_live(MessageFinished(message.message_id, notice))
 
     def _record_if_live(self, record: AttemptFinished | MessageFinished) -> None:
@@ -164,14 +170,14 @@
 
     @property
     def needs_repair(self) -> bool:
-        """Something that failed is still to be written, or cut off."""
+        """Whether a failed write is still to be repeated, or a torn record to be truncated."""
         return self.incomplete or self.file.torn
 
     def repair(self) -> bool:
-        """Writes what failed, with all that is live; False where the disk does not take it yet.
+        """Rewrites the log with all live messages; returns False if the write fails.
 
-        A record without effect goes along: a full disk takes a log without any, and would forget a message
-        whose final state it has not taken elsewhere."""
+        The rewritten log always has a record without effect: a full disk accepts an empty log, and would lose
+        a message whose final state has not been written to another file either."""
         live = [MessageSubmitted(message).encode() for message in self.messages.live.values()]
         try:
             self.file.rewrite([*live, NO_OP_RECORD])
@@ -192,6 +198,6 @@
         self.incomplete = False
 
     def close(self) -> None:
-        """Lets go of the log: from now on another process may take or adopt it."""
+        """Closes and unlocks the log, which another process may then claim or adopt."""
         self.file.close()
         self._lock.release()
--- a/tests/server/storage/test_stored_data.py
+++ b/tests/server/storage/test_stored_data.py
@@ -221,7 +221,7 @@
 
 
 def test_the_imprint_of_another_sender_is_refused(tmp_path: Path) -> None:
-    with pytest.raises(StateDirectoryError, match="the folder of sender 'relay-1', not of 'relay-2'"):
+    with pytest.raises(StateDirectoryError, match="belongs to sender 'relay-1', not to 'relay-2'"):
         StateDirectory(copy_of("standalone", tmp_path), "relay-2")
 
 
