--- a/ashpath/server/storage/log_report.py
+++ b/ashpath/server/storage/log_report.py
@@ -36,8 +36,7 @@
     messages: LiveMessages = field(default_factory=LiveMessages)
     records: Counter[str] = field(default_factory=Counter)
     """The number of records of each type, by its name on disk."""
-    valid_bytes: int = 0
-    """The offset of the first record that is not valid, or the end of the file."""
+    valid_bytes: int = 0  # offset of the first record that is not valid, or the end of the file
     skipped_bytes: int = 0
     """Bytes skipped between valid records."""
     fault: str = ""
--- a/ashpath/server/storage/shared_memory_layout.py
+++ b/ashpath/server/storage/shared_memory_layout.py
@@ -91,11 +91,11 @@
     """Returns the notices with a valid checksum by index; none from memory without the magic number."""
     if not has_magic(memory):
         return {}
-    notices = {}
+    notices_by_index = {}
     rows = RECORD.iter_unpack(memory[HEADER.size : FILE_BYTES])
     for index, (checksum, end, destination, length, endpoint) in enumerate(rows):
         fields = RECORD.pack(0, end, destination, length, endpoint)[CHECKSUM_BYTES:]
         if end and checksum == crc32(fields):
             endpoint_id = endpoint[:length].decode("utf-8", "replace")
-            notices[index] = RetryAfterNotice(destination, endpoint_id, end)
-    return notices
+            notices_by_index[index] = RetryAfterNotice(destination, endpoint_id, end)
+    return notices_by_index
