--- a/tests/server/storage/test_detached_endpoints.py
+++ b/tests/server/storage/test_detached_endpoints.py
@@ -1,4 +1,4 @@
-"""Detached endpoints on disk."""
+"""The file of detached endpoints: it survives the process, and an unreadable one detaches no endpoint."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         DetachedEndpoints(tmp_path, log.logger).change(endpoint_id, detached=True)
     assert DetachedEndpoints(tmp_path, log.logger).read() == {"e1", "e2"}
     assert not log.events
-    # Nothing of the process is left beside the file and its lock.
+    # No temporary file is left beside the file and its lock.
     assert sorted(path.name for path in tmp_path.iterdir()) == [FILE_NAME, f"{FILE_NAME}.lock"]
 
 
--- a/tests/server/storage/test_failing_disk.py
+++ b/tests/server/storage/test_failing_disk.py
@@ -1,8 +1,8 @@
-"""The write-ahead log under a disk that fails for a while, at each call in turn, and a kill after it.
+"""The write-ahead log on a disk whose calls fail for a while, starting at each call in turn, before a kill.
 
-Seen in the code: a torn record stays in the log where it cannot be cut off, and all behind it was unreadable;
-records of outcomes that failed were never written later; a start failed where the log could not be rewritten;
-an orphan whose adoption failed stayed locked.
+These faults occurred: a torn record that could not be truncated stayed in the log and made all records after
+it unreadable; records of outcomes whose write had failed were never written later; a start failed if the log
+could not be rewritten; an orphan whose adoption had failed stayed locked.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
-MAX_LOG_BYTES = 1 << 20  # bytes
-CALLS = 12  # of one kind, each of which is the first to fail in turn
+MAX_LOG_BYTES = 1 << 20
+CALLS = 12  # calls of one kind; each in turn is the first to fail
 
 
 class FailingDisk:
-    """Makes calls of `os` fail from the `first`-th one of its kind on, `count` times."""
+    """Makes `count` calls of one function of `os` fail, after the first `first` calls of it."""
 
     def __init__(self, name: str, error: str, first: int, count: int) -> None:
         self.name = name
@@ -64,7 +64,7 @@
 
 
 def process_messages(log: WriteAheadLog) -> tuple[set[str], set[str]]:
-    """Submits, starts attempts and finishes messages; who was accepted, and who is finished."""
+    """Submits messages, records attempts and finishes some; returns accepted and finished trace ids."""
     accepted: set[str] = set()
     finished: set[str] = set()
     for number in range(1, 9):
@@ -82,8 +82,8 @@
 
 
 def messages_after_kill(log: WriteAheadLog, folder: Path) -> dict[str, tuple[int, bool]]:
-    """What the next incarnation would find after a kill in this moment: attempts, and whether it may have
-    run."""
+    """Returns the messages that the next incarnation would find after a kill now, by trace id: the number of
+    attempts, and whether an attempt may have run."""
     copy = folder / "copy"
     copy.write_bytes(log.file.path.read_bytes())
     recovered = LiveMessages()
@@ -102,7 +102,7 @@
 
 
 def violation(name: str, first: int, count: int, folder: Path) -> str:
-    """What was wrong with one order of failing calls."""
+    """Returns the violation found with one sequence of failing calls, or an empty string."""
     folder.mkdir()
     disks = [FailingDisk(call, error, first if call == "write" else 0, count) for call, error in FAULTS[name]]
     log = WriteAheadLog(folder, MAX_LOG_BYTES)
@@ -118,7 +118,7 @@
 
 
 def test_accepted_messages_survive_any_write_failure(tmp_path: Path) -> None:
-    """Each kind of fault, beginning at each call in turn, for one call, three, and until the repair."""
+    """Each kind of fault starts at each call in turn and lasts for one call, for three, or until repair."""
     faults = {}
     for name in FAULTS:
         for first in range(CALLS):
@@ -130,7 +130,7 @@
 
 
 def test_start_on_full_disk_keeps_live_messages(tmp_path: Path) -> None:
-    """It runs on, accepts nothing, and is whole once the disk takes writes again."""
+    """The log accepts no message while its rewrite fails, and is complete after `repair` succeeds."""
     log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     accepted, finished = process_messages(log)
     log.close()
@@ -148,7 +148,7 @@
 
 
 def test_orphan_log_is_adopted_after_failed_adoption(tmp_path: Path) -> None:
-    """Its lock is free meanwhile, nothing of it is lost, and it is adopted once."""
+    """The orphan's lock is free after the failure, none of its messages is lost, and it is adopted once."""
     old = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     new = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     accepted, finished = process_messages(old)
@@ -162,12 +162,12 @@
 
 
 def test_orphan_log_that_cannot_be_emptied_is_adopted_once(tmp_path: Path) -> None:
-    """Also where its messages are finished before it is empty."""
+    """The message is finished before the orphan can be emptied, and is not adopted a second time."""
     old = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     new = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     assert old.record_submitted(message(1))
     old.close()
-    with failing_calls(FailingDisk("replace", "EIO", 1, 1)):  # the second renames the emptied one
+    with failing_calls(FailingDisk("replace", "EIO", 1, 1)):  # the second rename empties the orphan
         (adopted,) = new.adopt()
         new.record_finished(adopted)
     assert new.adopt() == []
--- a/tests/server/storage/test_live_messages.py
+++ b/tests/server/storage/test_live_messages.py
@@ -1,4 +1,4 @@
-"""What each record of the log does to the table of live messages."""
+"""The effect of each log record on the table of live messages."""
 
 from __future__ import annotations
 
--- a/tests/server/storage/test_outage_store.py
+++ b/tests/server/storage/test_outage_store.py
@@ -1,4 +1,4 @@
-"""Outages that outlive the process."""
+"""The store of outages: it survives the process, its file is bounded, and failed writes are logged."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 
 def test_outages_outlive_the_process(tmp_path: Path) -> None:
-    """Kept at each change of mode: during the outage, then in slow start; the rate before it goes with it."""
+    """An outage is stored during the outage and during the slow start after it, with the rate before it."""
     log = RecordingLogger()
     store = OutageStore(tmp_path, log.logger)
     store.outage_began(7, "", 1.5)
-    store.outage_began(7, "", 9.0)  # its breaker opened again: no change
+    store.outage_began(7, "", 9.0)  # in outage already: no change
     store.outage_began(8, "e8", 0.5)
-    store.outage_ended(9, "", 0.5, MINUTE_US)  # never in outage
+    store.outage_ended(9, "", 0.5, MINUTE_US)  # was not in outage: no change
     assert active(OutageStore(tmp_path, log.logger)) == [(7, "", 1.5), (8, "e8", 0.5)]
     store.outage_ended(7, "", 1.5, MINUTE_US)
-    store.outage_ended(8, "e8", 0.5, -1)  # warm at once
+    store.outage_ended(8, "e8", 0.5, -1)  # slow start over at once
     assert active(OutageStore(tmp_path, log.logger)) == [(7, "", 1.5)]
     assert not log.events
 
 
 @pytest.mark.parametrize("content", UNREADABLE)
 def test_unreadable_file_counts_as_no_outage(tmp_path: Path, content: bytes) -> None:
-    """A torn or foreign file, and said."""
+    """A torn file or one of another version is logged, and no outage is known."""
     log = RecordingLogger()
     (tmp_path / "outages").write_bytes(content)
     assert active(OutageStore(tmp_path, log.logger)) == []
--- a/tests/server/storage/test_outcome_store.py
+++ b/tests/server/storage/test_outcome_store.py
@@ -1,4 +1,4 @@
-"""Final states that clients ask for: bounded, and beyond the process."""
+"""The store of final states: bounded in memory and on disk, and recovered by the next incarnation."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     assert log.events == ["outcomes not written"]
     assert store.needs_repair
     assert not store.repair()
-    monkeypatch.undo()  # the disk takes writes again
+    monkeypatch.undo()  # writes succeed again
     assert store.repair()
     assert log.events == ["outcomes not written", "outcomes written again"]
     store.close()
--- a/tests/server/storage/test_record_codec.py
+++ b/tests/server/storage/test_record_codec.py
@@ -1,4 +1,4 @@
-"""Records that are not whole: each is found, and what is whole behind it counts."""
+"""Invalid records in a log: the reader reports the first fault and reads the valid records after it."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     for n in range(40)
 ]
 DATA = b"".join(RECORDS)
-RECORD_ENDS = [sum(map(len, RECORDS[:n])) for n in range(len(RECORDS) + 1)]  # offsets between records
+RECORD_ENDS = [sum(map(len, RECORDS[:n])) for n in range(len(RECORDS) + 1)]  # offsets, from 0 on
 
 
 def read(path: Path) -> tuple[int, RecordReader]:
-    """How many records are whole, and the reader."""
+    """Returns the number of valid records, and the reader."""
     with path.open("rb") as file:
         reader = RecordReader(file)
         return len(list(reader)), reader
 
 
 def test_truncated_log_is_read_up_to_last_whole_record(tmp_path: Path) -> None:
-    """Cut at each byte: the first torn record's offset is named."""
+    """The log is cut at each byte in turn; the reader reports the offset of the torn record."""
     path = tmp_path / "journal"
     for cut in range(len(DATA)):
         path.write_bytes(DATA[:cut])
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize(("offset", "byte"), [(3, b"\xff"), (6, b"\x00"), (12, b"~")])
 def test_corrupt_record_is_reported_and_skipped(tmp_path: Path, offset: int, byte: bytes) -> None:
-    """In the length, the checksum and the line of JSON; the records behind it count."""
+    """A byte is wrong in the length, the checksum or the line of JSON; the records after it are read."""
     at = RECORD_ENDS[9] + offset
     (tmp_path / "journal").write_bytes(DATA[:at] + byte + DATA[at + 1 :])
     count, reader = read(tmp_path / "journal")
@@ -51,7 +51,7 @@
 
 
 def test_records_after_torn_record_are_read(tmp_path: Path) -> None:
-    """As a write that was cut short leaves it, with others behind."""
+    """A short write left a torn record, and other records were appended after it."""
     path = tmp_path / "journal"
     for cut in range(RECORD_ENDS[4] + 1, RECORD_ENDS[5]):
         path.write_bytes(DATA[:cut] + DATA[RECORD_ENDS[5] :])
@@ -61,7 +61,7 @@
 
 
 def test_record_bytes_in_body_of_torn_record_are_not_read(tmp_path: Path) -> None:
-    """Guards messages against a client whose body has the bytes of a record."""
+    """A client could otherwise forge a record, by a body with its bytes in a message whose write is torn."""
     forged = MessageFinished(1, None).encode()
     torn = MessageSubmitted(StoredMessage(9, "t9", 0, 1, None, None, 7, forged + b"rest")).encode()
     path = tmp_path / "journal"
--- a/tests/server/storage/test_shared_memory.py
+++ b/tests/server/storage/test_shared_memory.py
@@ -1,4 +1,4 @@
-"""What binds the other process of a hot upgrade at once."""
+"""Shared memory: Retry-After notices and changes of detached endpoints reach the other process at once."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def processes(tmp_path: Path) -> Iterator[Processes]:
-    """`old` is closed by the test, or never."""
+    """Yields the processes and closes `new` and `late`; a test may close `old` itself."""
     made = Processes(tmp_path)
     yield made
     made.close()
@@ -43,7 +43,7 @@
 
 
 def test_notice_reaches_other_process_at_its_next_check(processes: Processes) -> None:
-    """Guards Retry-After received by one process of a hot upgrade: the other is bound at once."""
+    """A Retry-After that one process of a hot upgrade receives also limits the attempts of the other."""
     processes.old.publish_retry_after(7, "x1", 5_000_000)
     assert processes.new.changed()
     notice = RetryAfterNotice(7, "x1", 5_000_000)
@@ -64,7 +64,7 @@
     processes.old.publish_retry_after(8, "e" * 200, 6_000_000)
     notice = RetryAfterNotice(8, "", 6_000_000)
     assert notice in processes.new.updates(5_500_000).notices
-    assert processes.late.updates(5_500_000).notices == [notice]  # the other one is over
+    assert processes.late.updates(5_500_000).notices == [notice]  # the notice of x1 has ended
 
 
 def test_change_of_detached_endpoints_is_reported_once(processes: Processes) -> None:
@@ -99,7 +99,7 @@
 
 
 def test_new_process_recovers_notices_of_killed_process(processes: Processes) -> None:
-    """As after a SIGKILL: nothing is written at the end."""
+    """After a SIGKILL the old process writes nothing more; the next owner of its memory reads the notices."""
     fill_with_notices(processes.old)
     tear_first_record(processes.old)
     processes.old.close()
@@ -119,7 +119,7 @@
 def test_a_full_disk_leaves_a_process_without_memory_of_its_own(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No crash, and it still looks."""
+    """The process starts without memory of its own, and can still read updates."""
 
     def full(*_: object) -> None:
         raise OSError(28, "no space")
--- a/tests/server/storage/test_state_directory.py
+++ b/tests/server/storage/test_state_directory.py
@@ -1,4 +1,4 @@
-"""The state directory of a standalone sender: whose it is, and a crash at each of its writes."""
+"""The state directory of a standalone sender: its lock, and a crash at each write of a start."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class CrashingWrites:
-    """Ends the process at one of its writes, as a kill would."""
+    """Interrupts the start at one of its writes, as a kill would."""
 
     def __init__(self, crash_at: int) -> None:
         self.crash_at = crash_at
@@ -43,7 +43,7 @@
 
 
 def write_earlier_state(path: Path) -> None:
-    """One traffic class, and a message in the log."""
+    """Writes the state of an earlier sender: one traffic class, and a message in the log."""
     directory = StateDirectory(path, "n0")
     directory.write(CLASSES[:1])
     log = WriteAheadLog(path, 1 << 20)
@@ -53,7 +53,7 @@
 
 
 def run_startup(path: Path) -> None:
-    """As far as the state directory goes, with a traffic class more."""
+    """Runs the part of a start that writes the state directory, with one more traffic class."""
     directory = StateDirectory(path, "n0")
     try:
         directory.write(CLASSES)
@@ -66,7 +66,7 @@
 def test_crash_at_any_startup_write_keeps_messages_and_imprint(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, crash_at: int
 ) -> None:
-    """The message is there after each, and the imprint is the old one or the new."""
+    """After each crash the message is still in the log, and the imprint is either the old or the new one."""
     write_earlier_state(tmp_path)
     writes = CrashingWrites(crash_at)
     crashed = False
--- a/tests/server/storage/test_stored_clock.py
+++ b/tests/server/storage/test_stored_clock.py
@@ -1,4 +1,4 @@
-"""Times that outlive the process are spans of real time."""
+"""The stored clock: steps of the wall clock do not change times that outlive the process."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 def test_offset_not_of_this_boot_is_taken_from_wall_clock(
     tmp_path: Path, content: bytes, origin: ClockOrigin
 ) -> None:
-    """Also where the monotonic clock is behind the time in the file."""
+    """The cases include a monotonic clock that is earlier than the time in the file."""
     (tmp_path / "clock").write_bytes(content.replace(b"BOOT", stored_clock.boot_id().encode()))
     assert settle_stored_clock(tmp_path, Mock()) is origin
     assert abs(timers.stored_time() - timers.wall_clock()) < 5_000_000
@@ -74,7 +74,7 @@
 
 
 def test_the_wall_clock_is_read_in_one_module() -> None:
-    """What ends, waits or expires is never compared with a clock that may be stepped."""
+    """Deadlines, pauses and expiry times must not be compared with a clock that may be stepped."""
     readers = set()
     for package in ("server", "core", "policy"):
         for path in (ROOT / "ashpath" / package).rglob("*.py"):
--- a/tests/server/storage/test_stored_data.py
+++ b/tests/server/storage/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Reads data that the code of 2026-12-02 stored on disk, with the code as it stands today."""
+"""The current code reads data that the code of 2026-12-02 stored on disk."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
 ALL_BYTES = bytes(range(256))
-MAX_KEY = (1 << 48) - 1  # of an order key
+MAX_KEY = (1 << 48) - 1  # the largest ordering key
 
 
 def messages_of(name: str, directory: Path) -> list[StoredMessage]:
-    """The live messages, in their order, as a process finds them at its start."""
+    """Returns the live messages in their order, as a process finds them at its start."""
     log = WriteAheadLog(copy_of(name, directory), MAX_LOG_BYTES)
     log.close()
     return list(log.messages.live.values())
@@ -54,9 +54,9 @@
     )
 
 
-# Of each message: id, trace id, traffic class, destination, ordering key, idempotency key; deadline, body,
-# attempts; start and endpoint of the first attempt that may have run, and of the one in flight; the notice
-# that is owed, and whether it is finished.
+# Fields of each message: id, trace id, traffic class, destination, ordering key, idempotency key; deadline,
+# body, attempts; start and endpoint of the first attempt that may have run, and of the attempt in flight; the
+# pending notice, and whether the message is finished.
 UNTRIED = (None, "", None, "")
 RAN_AND_IN_FLIGHT = (PAST + 5, "e6", PAST + 6, "e6-ü")
 LIVE = (None, False)
@@ -73,7 +73,7 @@
         ((8, "p-bytes", 1, 3, 0, 'tag "quoted" \\'), (FUTURE + 8, ALL_BYTES, 0), UNTRIED, LIVE),
         ((9, "p-empty", 1, 3, 0, None), (FUTURE + 9, b"", 0), UNTRIED, LIVE),
         ((10, "p-deferred", 0, 1, None, None), (FUTURE + 10, b"200", 0), UNTRIED, (DEFERRED, True)),
-        # Adopted from the process that is gone; the ids are those of this process, behind its own.
+        # Adopted from the process that has ended, with ids that this process assigned after its own.
         (
             (12, "p-orphan-waiting", 1, 3, MAX_KEY, "tag-orphan"),
             (FUTURE + 1, "hé".encode(), 0),
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_stored_messages_are_read_in_order_of_acceptance(tmp_path: Path, name: str) -> None:
-    """Those that were delivered, and the second copy of one held twice, are not among them."""
+    """Messages that were delivered, and the second copy of a message in both logs, are not among them."""
     assert [message.trace_id for message in messages_of(name, tmp_path)] == [
         row[0][1] for row in MESSAGES[name]
     ]
@@ -131,7 +131,7 @@
 
 def test_an_adopted_log_is_removed(tmp_path: Path) -> None:
     directory = copy_of("platform", tmp_path)
-    assert len(list(directory.glob("journal-*"))) == 2  # the log of the process that is gone, and its lock
+    assert len(list(directory.glob("journal-*"))) == 2  # the log of the process that has ended, and its lock
     WriteAheadLog(directory, MAX_LOG_BYTES).close()
     assert sorted(path.name for path in directory.glob("journal*")) == ["journal", "journal.lock"]
 
@@ -153,7 +153,7 @@
 
 
 def test_stored_outages_in_force_are_active(tmp_path: Path) -> None:
-    """The one that ended, with its destination warm again, is not among them."""
+    """The outage whose slow start has ended is not among them."""
     outages = OutageStore(copy_of("platform", tmp_path), no_errors())
     assert outages.active() == [Outage(20, "", 12.5, None), Outage(21, "e21-é", 0.1, FUTURE)]
 
@@ -178,9 +178,9 @@
 
 NOTICES = [
     RetryAfterNotice(30, "", FUTURE + 1),
-    RetryAfterNotice(31, "e31", FUTURE + 2),  # published twice: the later end
+    RetryAfterNotice(31, "e31", FUTURE + 2),  # published twice: the later end applies
     RetryAfterNotice(32, "é" * 21 + "x", FUTURE + 3),  # 43 bytes, the longest id
-    RetryAfterNotice(33, "", FUTURE + 4),  # a longer id: its whole destination waits
+    RetryAfterNotice(33, "", FUTURE + 4),  # a longer id: the notice applies to the destination
     RetryAfterNotice(35, "e35", FUTURE + 5),  # published by the other process
 ]
 
@@ -193,14 +193,14 @@
 
 
 def test_stored_shared_memory_counters_are_read(tmp_path: Path) -> None:
-    """The process that had the first file published six notices, and detached one endpoint."""
+    """The process that owned the first file published six notices and detached one endpoint."""
     memory = SharedMemory(copy_of("platform", tmp_path), 1)
     memory.close()
     assert (memory.counters.notices, memory.counters.detached_changes) == (6, 1)
 
 
 def test_stored_imprint_of_same_sender_is_accepted(tmp_path: Path) -> None:
-    """The traffic classes that it names are those of the sender's file: no id changes its meaning."""
+    """Its traffic classes are those of the sender's file, so no traffic class id changes its meaning."""
     directory = StateDirectory(copy_of("standalone", tmp_path), "relay-1")
     directory.close()
     assert (
@@ -227,11 +227,11 @@
 
 OUTCOMES = {
     "s-first": FinalOutcome("completed", FUTURE, 0),
-    "s-second": FinalOutcome("undeliverable", FUTURE + 2, 0),  # stands behind a line that was cut off
+    "s-second": FinalOutcome("undeliverable", FUTURE + 2, 0),  # follows a line that was cut off
     "s-third": FinalOutcome("withdrawn", FUTURE + 3, 0),
     "s-fourth": FinalOutcome("deferred", FUTURE + 4, FUTURE + 900_000),
     "s-fifth": FinalOutcome("completed", FUTURE + 5, 0),
-    "s-again": FinalOutcome("completed", FUTURE + 6, 0),  # deferred in the older file, then handed in again
+    "s-again": FinalOutcome("completed", FUTURE + 6, 0),  # deferred in the older file, then submitted again
     "s-sixth": FinalOutcome("undeliverable", FUTURE + 7, 0),
 }
 
--- a/tests/server/storage/test_stored_data_at_start.py
+++ b/tests/server/storage/test_stored_data_at_start.py
@@ -1,4 +1,4 @@
-"""Starts senders on data that the code of 2026-12-02 stored on disk; see test_stored_data.py."""
+"""Senders start on data that the code of 2026-12-02 stored on disk; see test_stored_data.py."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def test_platform_sender_finishes_stored_messages(world: World) -> None:
-    """A process that starts on the state directory ends each message as its track allows."""
+    """A process that starts on the stored state directory ends each message as its traffic class allows."""
     shutil.copytree(STORED / "platform", world.folder / "state", dirs_exist_ok=True)
     world.start()
     until(lambda: len(world.notifications) >= 5 and len(world.attempts) >= 3)
@@ -32,12 +32,12 @@
     undeliverable = dict.fromkeys(["p-owed", "p-tried", "p-out", "p-orphan-out"], ("undeliverable", None))
     assert reported == {**undeliverable, "p-deferred": ("deferred", 500)}
     assert set(world.attempts) == {"p-waiting", "p-ran", "p-ran-and-out"}
-    waiting = ["p-bytes", "p-empty", "p-orphan-waiting"]  # for the endpoint that an operator holds
+    waiting = ["p-bytes", "p-empty", "p-orphan-waiting"]  # for the endpoint that an operator has detached
     until(lambda: [message.trace_id for message in live_messages(world)] == waiting)
 
 
 def live_messages(world: World) -> list[StoredMessage]:
-    """What the running sender's journal holds, read from a copy."""
+    """Returns the live messages of the running sender's log, read from a copy."""
     copied = world.folder / f"copy-{len(list(world.folder.iterdir()))}"
     copied.mkdir()
     shutil.copy(world.folder / "state" / "journal", copied)
@@ -54,7 +54,8 @@
     try:
         sender.start()
         assert {message: sender.state(message) for message in FINAL_STATES} == FINAL_STATES
-        assert sender.state("s-ran") == "undeliverable"  # its first attempt may have run, its window is over
+        # Its first attempt may have run, and its deduplication window has passed.
+        assert sender.state("s-ran") == "undeliverable"
     finally:
         sender.stop()
     imprint = (tmp_path / "standalone" / "imprint").read_bytes()
--- a/tests/server/storage/test_stored_data_written.py
+++ b/tests/server/storage/test_stored_data_written.py
@@ -1,6 +1,6 @@
-"""Writes what stands in `fixtures/stored_data` anew and compares the bytes; see test_stored_data.py.
+"""The current code writes the content of `fixtures/stored_data` with the same bytes; see test_stored_data.py.
 
-In a hot upgrade, and after a way back, the former release reads what this one wrote.
+In a hot upgrade, and after a rollback, the former release reads data that this release wrote.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def test_written_log_has_the_stored_bytes(tmp_path: Path) -> None:
-    """The stored one lacks the last five bytes."""
+    """The stored log lacks the last five bytes."""
     log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     messages = [StoredMessage(n, f"t-{n}", 0, n, None, None, FUTURE, b"body %d" % n) for n in (1, 2, 3)]
     for message in messages:
@@ -50,14 +50,14 @@
 
 
 def test_rewriting_a_rewritten_log_changes_no_byte(tmp_path: Path) -> None:
-    """The stored one was rewritten once, then its process appended to it."""
+    """The stored log was rewritten once, and its process appended records afterwards."""
     path = tmp_path / "journal"
     path.write_bytes((PLATFORM / "journal").read_bytes())
     WriteAheadLog(tmp_path, MAX_LOG_BYTES).close()
     first = path.read_bytes()
     WriteAheadLog(tmp_path, MAX_LOG_BYTES).close()
     assert path.read_bytes() == first
-    unchanged = first.index(b'["taken",2,') - 8  # the first message: not touched since
+    unchanged = first.index(b'["taken",2,') - 8  # the first message has no record after the rewrite
     assert (PLATFORM / "journal").read_bytes()[:unchanged] == first[:unchanged]
 
 
@@ -106,7 +106,7 @@
 def test_written_final_outcomes_have_the_stored_bytes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The same lines, in one file, as the stored two have between those that were cut off."""
+    """The written file has the complete lines of both stored files, without those that were cut off."""
     stored = (STANDALONE / "ends.old").read_bytes() + (STANDALONE / "ends").read_bytes()
     lines = [line for line in stored.splitlines(keepends=True) if line.endswith(b"]\n")]
     written = outcome_store.OutcomeStore(tmp_path, MAX_LOG_BYTES, 60_000_000, no_errors())
--- a/tests/server/storage/test_traffic_class_ids.py
+++ b/tests/server/storage/test_traffic_class_ids.py
@@ -1,4 +1,4 @@
-"""Traffic class ids on disk, once settings were switched."""
+"""The file of traffic class ids that a switch of settings writes."""
 
 from __future__ import annotations
 
--- a/tests/server/storage/test_write_ahead_log.py
+++ b/tests/server/storage/test_write_ahead_log.py
@@ -1,4 +1,4 @@
-"""The write-ahead log: torn records, adoption, the shared disk."""
+"""The write-ahead log: torn records, adoption of orphaned logs, and the limit of the shared disk."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
-MAX_LOG_BYTES = 1 << 20  # bytes
+MAX_LOG_BYTES = 1 << 20
 BODY = b"a\nb\x00"
 
 
 @pytest.fixture(scope="module")
 def written(tmp_path_factory: pytest.TempPathFactory) -> tuple[bytes, int]:
-    """A log of two messages, the second with an attempt that may have run; and where its records begin."""
+    """Returns a log of two messages, the second with an attempt that may have run, and the offset of the
+    attempt's records."""
     directory = tmp_path_factory.mktemp("written")
     log = WriteAheadLog(directory, MAX_LOG_BYTES)
     messages = [StoredMessage(n, f"t{n}", 0, 1, 5, "tag", 7, BODY) for n in (1, 2)]
@@ -35,7 +36,8 @@
 
 
 def test_torn_log_is_read_up_to_last_whole_record(tmp_path: Path, written: tuple[bytes, int]) -> None:
-    """Whatever byte the file ends at, what is whole before it counts."""
+    """The log is cut at each byte of the attempt's records in turn, and up to two zero bytes follow the cut;
+    the records before the cut are read."""
     whole, before = written
     for end in range(before, len(whole)):
         (tmp_path / "journal").write_bytes(whole[:end] + b"\x00" * (end % 3))
@@ -71,7 +73,7 @@
 
 
 def submit_until_full(log: WriteAheadLog, prefix: str, count: int = 10**6) -> None:
-    """With so many messages, or as many as there is room for."""
+    """Submits `count` messages, or as many as the log has room for."""
     for number in range(count):
         message_id = log.messages.last_id + 1
         message = StoredMessage(message_id, f"{prefix}{number}", 0, 3, None, None, 2**40, b"x" * 2000)
@@ -82,19 +84,19 @@
 def test_a_log_is_adopted_once_its_process_is_gone(tmp_path: Path) -> None:
     old = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     submit_until_full(old, "a", 2)
-    new = WriteAheadLog(tmp_path, MAX_LOG_BYTES)  # beside a living one: a log of its own, and nothing adopted
+    new = WriteAheadLog(tmp_path, MAX_LOG_BYTES)  # a second log beside a living process's; nothing is adopted
     assert new.file.path.name == f"journal-{os.getpid()}"
     assert not new.messages.live
     assert new.adopt() == []
     old.record_finished(old.messages.live[1])
-    old.close()  # gone: what was live in it is the new one's, once
+    old.close()  # the process has ended: the new one adopts its live messages, once
     assert [message.trace_id for message in new.adopt()] == ["a1"]
     assert new.adopt() == []
     assert (tmp_path / "journal").read_bytes() == b""
 
 
 def test_a_message_in_two_logs_is_adopted_once(tmp_path: Path) -> None:
-    """As after a kill between adopting a log and emptying it."""
+    """A kill between adopting a log and emptying it leaves a message in both logs."""
     log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     submit_until_full(log, "a", 1)
     (tmp_path / "journal-1").write_bytes(log.file.path.read_bytes())
@@ -115,14 +117,14 @@
 
 
 def test_two_processes_share_the_disk_limit(tmp_path: Path) -> None:
-    """Guards the disk limit during an upgrade: each log alone would take all of it."""
+    """Each log alone would take all of the disk limit during a hot upgrade."""
     disk = 64 << 10
     old = WriteAheadLog(tmp_path, disk)
     submit_until_full(old, "o")
     new = WriteAheadLog(tmp_path, disk)
     submit_until_full(new, "n")
-    # At its most a log takes its records and a fresh copy of what is live beside them.
+    # A log takes at most its records and a rewritten copy of its live messages.
     assert sum(log.file.written + log.messages.reserved_bytes for log in (old, new)) <= disk
     old.close()
-    assert new.adopt()  # gone: its messages are this one's, and so is the disk
+    assert new.adopt()  # the old process has ended: the new one has its messages, and its share of the disk
     assert new.other_logs_bytes == 0
