--- a/tests/server/storage/test_outcome_store.py
+++ b/tests/server/storage/test_outcome_store.py
@@ -66,8 +66,8 @@
     assert store.repair()
     assert log.events == ["outcomes not written", "outcomes written again"]
     store.close()
-    again = open_store(tmp_path)
-    assert again.trace_ids() == ["unwritten", "unwritten2"]
+    reopened = open_store(tmp_path)
+    assert reopened.trace_ids() == ["unwritten", "unwritten2"]
 
 
 def test_final_state_is_forgotten_after_retention_time(tmp_path: Path) -> None:
--- a/tests/server/storage/test_shared_memory.py
+++ b/tests/server/storage/test_shared_memory.py
@@ -103,12 +103,12 @@
     fill_with_notices(processes.old)
     tear_first_record(processes.old)
     processes.old.close()
-    again = SharedMemory(processes.directory)
-    assert len(again.updates(0).notices) == MAX_NOTICES - 1
+    reopened = SharedMemory(processes.directory)
+    assert len(reopened.updates(0).notices) == MAX_NOTICES - 1
     assert len(processes.late.updates(0).notices) == MAX_NOTICES - 1
-    again.publish_retry_after(1, "z", 20_000_000)
+    reopened.publish_retry_after(1, "z", 20_000_000)
     assert RetryAfterNotice(1, "z", 20_000_000) in processes.new.updates(0).notices
-    again.close()
+    reopened.close()
 
 
 def test_foreign_memory_has_no_notices(tmp_path: Path) -> None:
--- a/tests/server/storage/test_state_directory.py
+++ b/tests/server/storage/test_state_directory.py
@@ -78,10 +78,10 @@
         except KeyboardInterrupt:
             crashed = True
     assert crashed == (crash_at <= STARTUP_WRITES)
-    again = StateDirectory(tmp_path, "n0")
-    assert again.live_messages() == 1
-    assert [row["name"] for row in again.traffic_classes] in (["a"], ["a", "b"])
-    again.close()
+    reopened = StateDirectory(tmp_path, "n0")
+    assert reopened.live_messages() == 1
+    assert [row["name"] for row in reopened.traffic_classes] in (["a"], ["a", "b"])
+    reopened.close()
 
 
 def test_second_sender_on_same_directory_is_refused(tmp_path: Path) -> None:
--- a/tests/server/storage/test_stored_data.py
+++ b/tests/server/storage/test_stored_data.py
@@ -122,9 +122,9 @@
 @pytest.mark.parametrize("name", MESSAGES)
 def test_rewritten_log_yields_the_same_messages(tmp_path: Path, name: str) -> None:
     before = messages_of(name, tmp_path)
-    again = WriteAheadLog(tmp_path / name, MAX_LOG_BYTES)
-    again.close()
-    assert [fields(message) for message in again.messages.live.values()] == [
+    reopened = WriteAheadLog(tmp_path / name, MAX_LOG_BYTES)
+    reopened.close()
+    assert [fields(message) for message in reopened.messages.live.values()] == [
         fields(message) for message in before
     ]
 
--- a/tests/server/storage/test_write_ahead_log.py
+++ b/tests/server/storage/test_write_ahead_log.py
@@ -110,9 +110,9 @@
     submit_until_full(new, "a", 1)
     old.close()
     new.close()
-    again = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
-    assert again.file.path.name == "journal"
-    assert trace_ids(again) == ["a0"]
+    reopened = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    assert reopened.file.path.name == "journal"
+    assert trace_ids(reopened) == ["a0"]
     assert not (tmp_path / f"journal-{os.getpid()}").exists()
 
 
