--- a/ashpath/server/state_files.py
+++ b/ashpath/server/state_files.py
@@ -10,7 +10,7 @@
 from ashpath.server.storage import outage_store, shared_memory
 from ashpath.server.storage.shared_memory import MAX_PROCESSES, SharedMemory
 from ashpath.server.storage.shared_memory_layout import FILE_BYTES
-from ashpath.server.storage.stored_clock import ClockOrigin, settle_stored_clock
+from ashpath.server.storage.stored_clock import ClockOrigin, initialize_stored_clock
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
 
@@ -30,7 +30,7 @@
 
 def settle_clock(place: SenderPlace, logger: Logger) -> None:
     """Before any stored time is read. After a boot no Retry-After binds that a process before it was told."""
-    if settle_stored_clock(place.state_directory, logger) is ClockOrigin.OTHER_BOOT:
+    if initialize_stored_clock(place.state_directory, logger) is ClockOrigin.OTHER_BOOT:
         shared_memory.remove_files(place.state_directory, MAX_PROCESSES)
 
 
--- a/ashpath/server/storage/stored_clock.py
+++ b/ashpath/server/storage/stored_clock.py
@@ -48,25 +48,25 @@
     """The kernel's id of the boot; empty if the kernel has none."""
     offset_us: int
     """Microseconds to add to the monotonic clock for a stored time."""
-    settled_at_us: int
+    computed_at_us: int
     """Time of the computation by the monotonic clock in microseconds; a process that reads an earlier time
     runs in another boot."""
 
     @classmethod
     def of_row(cls, row: list[object]) -> ClockOffset:
         """Returns the offset of one row of the file. Raises ValueError or TypeError if the row is invalid."""
-        boot, offset_us, settled_at_us = row
-        if not isinstance(offset_us, int) or not isinstance(settled_at_us, int):
+        boot, offset_us, computed_at_us = row
+        if not isinstance(offset_us, int) or not isinstance(computed_at_us, int):
             reason = "the offset or its time is not an integer"
             raise TypeError(reason)
-        return cls(str(boot), offset_us, settled_at_us)
+        return cls(str(boot), offset_us, computed_at_us)
 
     def is_of_boot(self, boot: str) -> bool:
         """Whether the offset is of the current boot, whose id is `boot`."""
-        return bool(boot) and boot == self.boot and timers.now() >= self.settled_at_us
+        return bool(boot) and boot == self.boot and timers.now() >= self.computed_at_us
 
 
-def settle_stored_clock(directory: Path, logger: Logger) -> ClockOrigin:
+def initialize_stored_clock(directory: Path, logger: Logger) -> ClockOrigin:
     """Sets the offset of this process, before any stored time is read, and returns its origin.
 
     Raises no error: without a usable file the offset comes from the wall clock.
@@ -81,7 +81,7 @@
     fresh = ClockOffset(boot, timers.wall_clock() - monotonic, monotonic)
     try:
         directory.mkdir(parents=True, exist_ok=True)
-        replace_shared_file(file.path, file.encode([[boot, fresh.offset_us, fresh.settled_at_us]]))
+        replace_shared_file(file.path, file.encode([[boot, fresh.offset_us, fresh.computed_at_us]]))
     except OSError as error:
         logger.warning("clock not written", error=str(error))
     else:
--- a/tests/server/storage/test_stored_clock.py
+++ b/tests/server/storage/test_stored_clock.py
@@ -12,7 +12,7 @@
 
 from ashpath.server import timers
 from ashpath.server.storage import stored_clock
-from ashpath.server.storage.stored_clock import ClockOrigin, settle_stored_clock
+from ashpath.server.storage.stored_clock import ClockOrigin, initialize_stored_clock
 
 HOUR_US = 3_600_000_000
 WALL_CLOCK_MODULES = {"ashpath/server/timers.py"}
@@ -35,10 +35,10 @@
 def test_wall_clock_step_within_boot_leaves_stored_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, by_us: int
 ) -> None:
-    assert settle_stored_clock(tmp_path, Mock()) is ClockOrigin.NEW
+    assert initialize_stored_clock(tmp_path, Mock()) is ClockOrigin.NEW
     before = timers.stored_time()
     step_wall_clock(monkeypatch, by_us)
-    assert settle_stored_clock(tmp_path, Mock()) is ClockOrigin.SAME_BOOT
+    assert initialize_stored_clock(tmp_path, Mock()) is ClockOrigin.SAME_BOOT
     assert 0 <= timers.stored_time() - before < 5_000_000
 
 
@@ -58,9 +58,9 @@
 ) -> None:
     """The cases include a monotonic clock that is earlier than the time in the file."""
     (tmp_path / "clock").write_bytes(content.replace(b"BOOT", stored_clock.boot_id().encode()))
-    assert settle_stored_clock(tmp_path, Mock()) is origin
+    assert initialize_stored_clock(tmp_path, Mock()) is origin
     assert abs(timers.stored_time() - timers.wall_clock()) < 5_000_000
-    assert settle_stored_clock(tmp_path, Mock()) is ClockOrigin.SAME_BOOT
+    assert initialize_stored_clock(tmp_path, Mock()) is ClockOrigin.SAME_BOOT
 
 
 def test_failed_clock_write_does_not_stop_start(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -69,7 +69,7 @@
 
     monkeypatch.setattr(stored_clock, "replace_shared_file", fail)
     logger = Mock()
-    assert settle_stored_clock(tmp_path, logger) is ClockOrigin.NEW
+    assert initialize_stored_clock(tmp_path, logger) is ClockOrigin.NEW
     assert logger.warning.call_count == 1
 
 
