--- a/ashpath/server/storage/stored_clock.py
+++ b/ashpath/server/storage/stored_clock.py
@@ -85,7 +85,7 @@
     except OSError as error:
         logger.warning("clock not written", error=str(error))
     else:
-        fresh = read_offset(file) or fresh  # the other process of a hot upgrade may have settled it just now
+        fresh = read_offset(file) or fresh  # the other process of a hot upgrade may have written its own
     timers.settle_offset(fresh.offset_us)
     return ClockOrigin.NEW if stored is None else ClockOrigin.OTHER_BOOT
 
