--- a/tests/server/storage/test_outage_store.py
+++ b/tests/server/storage/test_outage_store.py
@@ -1,4 +1,4 @@
-"""Outages that outlive the process."""
+"""The store of outages: it survives the process, its file is bounded, and failed writes are logged."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
 
 def test_outages_outlive_the_process(tmp_path: Path) -> None:
-    """Kept at each change of mode: during the outage, then in slow start; the rate before it goes with it."""
+    """An outage is stored during the outage and during the slow start after it, with the rate before it."""
     log = RecordingLogger()
     store = OutageStore(tmp_path, log.logger)
     store.outage_began(7, "", 1.5)
-    store.outage_began(7, "", 9.0)  # its breaker opened again: no change
+    store.outage_began(7, "", 9.0)  # in outage already: no change
     store.outage_began(8, "e8", 0.5)
-    store.outage_ended(9, "", 0.5, MINUTE_US)  # never in outage
+    store.outage_ended(9, "", 0.5, MINUTE_US)  # was not in outage: no change
     assert active(OutageStore(tmp_path, log.logger)) == [(7, "", 1.5), (8, "e8", 0.5)]
     store.outage_ended(7, "", 1.5, MINUTE_US)
-    store.outage_ended(8, "e8", 0.5, -1)  # warm at once
+    store.outage_ended(8, "e8", 0.5, -1)  # slow start over at once
     assert active(OutageStore(tmp_path, log.logger)) == [(7, "", 1.5)]
     assert not log.events
 
 
 @pytest.mark.parametrize("content", UNREADABLE)
-def test_a_file_that_cannot_be_read_is_no_outage(tmp_path: Path, content: bytes) -> None:
-    """A torn or foreign file, and said."""
+def test_unreadable_file_counts_as_no_outage(tmp_path: Path, content: bytes) -> None:
+    """A torn file or one of another version is logged, and no outage is known."""
     log = RecordingLogger()
     (tmp_path / "outages").write_bytes(content)
     assert active(OutageStore(tmp_path, log.logger)) == []
     assert log.events == ["outages not read, none are known"]
 
 
-def test_the_file_does_not_grow_with_destinations(tmp_path: Path) -> None:
+def test_outage_file_size_is_bounded_for_many_destinations(tmp_path: Path) -> None:
     store = OutageStore(tmp_path, RecordingLogger().logger)
     for number in range(500):
         store.outage_began(number, "e" * MAX_ENDPOINT_CHARACTERS, 1.0)
@@ -58,7 +58,7 @@
     assert store.active()[-1].destination == 499
 
 
-def test_a_full_disk_is_said_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_outage_writes_are_logged_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     log = RecordingLogger()
     store = OutageStore(tmp_path, log.logger)
     store.outage_began(1, "", 1.0)
