--- a/ashpath/emulator/http_client.py
+++ b/ashpath/emulator/http_client.py
@@ -59,7 +59,7 @@
     def _take_idle(self) -> HttpConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_quiet():
+            if connection.is_idle():
                 return connection
             connection.close()
         return None
--- a/ashpath/emulator/soak/clients.py
+++ b/ashpath/emulator/soak/clients.py
@@ -100,7 +100,7 @@
     def _take_idle(self) -> HttpConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_quiet() and len(self._idle) < MOST_IDLE:
+            if connection.is_idle() and len(self._idle) < MOST_IDLE:
                 return connection
             connection.close()
         return None
--- a/ashpath/server/agent_client.py
+++ b/ashpath/server/agent_client.py
@@ -70,7 +70,7 @@
     def connect(self) -> HttpConnection:
         """The kept connection where it can still be used, else a new one. Raises OSError."""
         kept = self.connection
-        if kept is not None and self.connected_address == self.address and kept.is_quiet():
+        if kept is not None and self.connected_address == self.address and kept.is_idle():
             return kept
         self.close()
         self.connected_address = self.address  # before the dial, as `move` may come while it waits
--- a/ashpath/server/control/connection.py
+++ b/ashpath/server/control/connection.py
@@ -43,7 +43,7 @@
         try:
             command = self.read_command()
             if command is not None:
-                self.send(self.carry_out(command))
+                self.send(self.execute(command))
         except InvalidCommandError as error:
             self.send(CommandResult(succeeded=False, message=str(error)))
         except Timeout:
@@ -72,7 +72,7 @@
                 if command is not None:
                     return command
 
-    def carry_out(self, command: OperatorCommand) -> CommandResult:
+    def execute(self, command: OperatorCommand) -> CommandResult:
         """Hands the command on, and logs what came of it."""
         result = self.handler.handle(command)
         argument = command.endpoint_id if isinstance(command, EndpointCommand) else None
--- a/ashpath/server/delivery/connection_pool.py
+++ b/ashpath/server/delivery/connection_pool.py
@@ -83,7 +83,7 @@
             if not idle:
                 del self.idle[endpoint_id]
             connection.idle_before_use_s = monotonic() - since
-            if connection.idle_before_use_s < self.idle_limit(endpoint_id) and connection.is_quiet():
+            if connection.idle_before_use_s < self.idle_limit(endpoint_id) and connection.is_idle():
                 return connection
             self.close(connection)
         return None
@@ -151,7 +151,7 @@
             oldest = now - self.idle_limit(endpoint_id) + self.limits.pool_sweep_s
             for idle in self.idle.pop(endpoint_id):
                 young = idle.since > min(oldest, now - self.limits.min_endpoint_idle_s)
-                if young and idle.connection.is_quiet():
+                if young and idle.connection.is_idle():
                     kept.append(idle)
                 else:
                     self.close(idle.connection)
--- a/ashpath/server/http/admission.py
+++ b/ashpath/server/http/admission.py
@@ -68,7 +68,7 @@
         self.write_ahead_log = write_ahead_log
         self.logger = logger
         self.log_full = False  # the last message found no space in the write-ahead log
-        self.refusing = False  # after SIGTERM, for good: nothing is accepted any more
+        self.rejecting_all = False  # after SIGTERM, for good: nothing is accepted any more
 
     def apply_settings(self, settings: PolicySettings, traffic_class_ids: dict[str, int]) -> None:
         """For messages from now on."""
@@ -83,7 +83,7 @@
             return rejection
         message.message_id = self.write_ahead_log.messages.last_id + 1
         recorded = self.write_ahead_log.record_submitted(message)
-        self.note_log_space(recorded=recorded)
+        self.report_log_space(recorded=recorded)
         if not recorded:
             return OVER_CAPACITY
         result = self.receiver.submit(message)
@@ -102,7 +102,7 @@
             return AdmissionResult(HTTPStatus.SERVICE_UNAVAILABLE, retry_after)
         return None
 
-    def note_log_space(self, *, recorded: bool) -> None:
+    def report_log_space(self, *, recorded: bool) -> None:
         """Logs when the write-ahead log fills up, and when it has space again."""
         if recorded != self.log_full:
             return
--- a/ashpath/server/http/client_connection.py
+++ b/ashpath/server/http/client_connection.py
@@ -17,9 +17,9 @@
 from ashpath.server.http.encoding import encode_response
 from ashpath.server.http.errors import (
     ConnectionClosedError,
-    LateRequestError,
     ProtocolError,
     RequestTimeoutError,
+    ShutdownDuringRequestError,
     TrailingBytesError,
 )
 from ashpath.server.http.messages import HttpRequest
@@ -48,26 +48,26 @@
 class ClientConnection:
     """Serves a connection until either side ends it."""
 
-    __slots__ = ("connection", "draining", "first", "services")
+    __slots__ = ("before_first_request", "connection", "draining", "services")
 
     def __init__(self, connection: HttpConnection, services: ClientServices) -> None:
         self.connection = connection
         self.services = services
-        self.first = True  # no request has been read yet
+        self.before_first_request = True  # no request has been read yet
         self.draining = False  # what came after this side's end has been read, or is being read
 
     def serve(self) -> None:
         """Runs to the end of the connection, whose owner closes it."""
         try:
             while not self.connection.unusable and self.exchange():
-                self.first = False
+                self.before_first_request = False
         except (OSError, ConnectionClosedError):
             pass
         except Exception:
             self.services.logger.exception("unexpected error")
             self.reject(500)
         else:
-            self.end()
+            self.half_close_and_drain()
 
     def exchange(self) -> bool:
         """One request and its response; whether the connection goes on."""
@@ -89,12 +89,16 @@
     def await_bytes(self) -> float:
         """Waits for a request to begin, for so long as a client may be silent; when the wait began."""
         connection = self.connection
-        state = AWAITING_FIRST_REQUEST if self.first else IDLE
+        state = AWAITING_FIRST_REQUEST if self.before_first_request else IDLE
         since = self.services.table.enter(connection, state)
         self.services.table.limit_idle()
         with (
             suppress(Timeout),
-            Timeout(self.services.limits.request_s if self.first else self.services.limits.client_idle_s),
+            Timeout(
+                self.services.limits.request_s
+                if self.before_first_request
+                else self.services.limits.client_idle_s
+            ),
         ):
             connection.receive()
         if not len(connection.buffer) and connection.peek_byte():
@@ -104,7 +108,9 @@
     def read_request(self, waiting_since: float) -> HttpRequest:
         """The request, whole and in time. Raises ProtocolError, ConnectionClosedError, OSError."""
         # A first request counts from the connection's start: guards against bytes that drip.
-        time_left = self.services.limits.request_s - (monotonic() - waiting_since if self.first else 0.0)
+        time_left = self.services.limits.request_s - (
+            monotonic() - waiting_since if self.before_first_request else 0.0
+        )
         time_left = min(time_left, self.services.availability.respond_by - monotonic())
         try:
             with Timeout(max(0.0, time_left)):
@@ -113,7 +119,7 @@
                     raise TrailingBytesError
         except Timeout as timeout:
             if monotonic() >= self.services.availability.respond_by:  # its client goes to another process
-                raise LateRequestError from timeout
+                raise ShutdownDuringRequestError from timeout
             raise RequestTimeoutError from timeout
         return request
 
@@ -133,7 +139,7 @@
         """A response, then the rest is read: closing on unread bytes would take the response back."""
         self.services.table.enter(self.connection, REJECTING)
         if self.write(encode_response(status, keep_alive=False)):
-            self.end()
+            self.half_close_and_drain()
 
     def write(self, data: bytes) -> bool:
         """False: the client had left, or did not take its response in time."""
@@ -145,7 +151,7 @@
             return False
         return True
 
-    def end(self) -> None:
+    def half_close_and_drain(self) -> None:
         """Ends a connection from this side. Guards a response just written, and a request that crosses the
         end: its client finds no response to it, on a connection that ended in order, and asks elsewhere."""
         if self.connection.eof_received or self.draining:
--- a/ashpath/server/http/connection_table.py
+++ b/ashpath/server/http/connection_table.py
@@ -60,44 +60,46 @@
     def __init__(self, limits: ServerLimits) -> None:
         self.limits = limits
         # By state, with the moment at which each came to it, in seconds of the monotonic clock.
-        self.entered: dict[ConnectionState, Entries] = {state: OrderedDict() for state in ConnectionState}
-        self.idle = self.entered[ConnectionState.IDLE]
+        self.entries_by_state: dict[ConnectionState, Entries] = {
+            state: OrderedDict() for state in ConnectionState
+        }
+        self.idle = self.entries_by_state[ConnectionState.IDLE]
         # Which of them has a connection: several moves a request, so no state is looked up to leave it.
-        self.places: dict[HttpConnection, Entries] = {}
+        self.entries_by_connection: dict[HttpConnection, Entries] = {}
 
     def enter(self, connection: HttpConnection, state: ConnectionState) -> float:
         """Moves a connection, or puts a new one here; the moment of it."""
         self.remove(connection)
-        place = self.entered[state]
-        self.places[connection] = place
-        moment = place[connection] = monotonic()
-        return moment
+        entries = self.entries_by_state[state]
+        self.entries_by_connection[connection] = entries
+        entered_at = entries[connection] = monotonic()
+        return entered_at
 
     def remove(self, connection: HttpConnection) -> None:
         """A connection that is closed; one that is not here is no error."""
-        place = self.places.pop(connection, None)
-        if place is not None:
-            del place[connection]
+        entries = self.entries_by_connection.pop(connection, None)
+        if entries is not None:
+            del entries[connection]
 
     def count(self, *states: ConnectionState) -> int:
         """Connections that are in any of the states."""
-        return sum(len(self.entered[state]) for state in states)
+        return sum(len(self.entries_by_state[state]) for state in states)
 
     def connections(self, *states: ConnectionState) -> list[HttpConnection]:
         """Those in any of the states, state by state, longest in it first."""
-        return [connection for state in states for connection in self.entered[state]]
+        return [connection for state in states for connection in self.entries_by_state[state]]
 
     def half_close(self, connection: HttpConnection) -> None:
         """Ends this side of a connection; what it came to that state with stays the same if it is there."""
-        if connection not in self.entered[ConnectionState.HALF_CLOSED]:
+        if connection not in self.entries_by_state[ConnectionState.HALF_CLOSED]:
             self.enter(connection, ConnectionState.HALF_CLOSED)
         connection.half_close()
 
-    def half_close_quiet(self, *states: ConnectionState) -> None:
+    def half_close_idle(self, *states: ConnectionState) -> None:
         """Between requests a connection may be closed: its client goes to another sender. Not one whose
         request has come and waits to be read."""
         for connection in self.connections(*states):
-            if connection.is_quiet():
+            if connection.is_idle():
                 self.half_close(connection)
 
     def drain_all(self) -> None:
@@ -145,7 +147,7 @@
     def oldest(self, state: ConnectionState, min_age_s: float) -> Iterator[HttpConnection]:
         """The connections that may be evicted from a state."""
         candidates = self.limits.eviction_candidates if state is ConnectionState.READING else 1
-        for connection, entered_at in islice(self.entered[state].items(), candidates):
+        for connection, entered_at in islice(self.entries_by_state[state].items(), candidates):
             if monotonic() - entered_at < min_age_s:
                 return
             yield connection
@@ -155,4 +157,4 @@
         """Whether nothing is lost with it."""
         if state is ConnectionState.READING:
             return not connection.peek_byte()
-        return state is ConnectionState.HALF_CLOSED or connection.is_quiet()
+        return state is ConnectionState.HALF_CLOSED or connection.is_idle()
--- a/ashpath/server/http/errors.py
+++ b/ashpath/server/http/errors.py
@@ -139,7 +139,7 @@
     message = "a request without an end"
 
 
-class LateRequestError(ProtocolError):
+class ShutdownDuringRequestError(ProtocolError):
     """A request was not whole as the shutdown stopped waiting for it."""
 
     status = HTTPStatus.SERVICE_UNAVAILABLE
--- a/ashpath/server/http/framing.py
+++ b/ashpath/server/http/framing.py
@@ -20,7 +20,7 @@
 from ashpath.server.http.receive_buffer import ReceiveBuffer
 
 LENGTH_HEADERS = {b"content-length", b"transfer-encoding"}
-CONTENT_LENGTH_DIGITS = 15
+MAX_CONTENT_LENGTH_DIGITS = 15
 CHUNK_SIZE_LINE = re.compile(rb"([0-9a-fA-F]{1,8})[ \t]*(;[^\x00-\x08\x0a-\x1f]*)?")
 MAX_CHUNK_LINE_BYTES = 1024  # a chunk's size with its extensions, or a line behind the last chunk
 LINE_END = b"\r\n"
@@ -96,7 +96,7 @@
     length = headers.get(b"content-length")
     if length is None:
         return 0 if isinstance(message, HttpRequest) or message.complete else None
-    if not length.isdigit() or len(length) > CONTENT_LENGTH_DIGITS:
+    if not length.isdigit() or len(length) > MAX_CONTENT_LENGTH_DIGITS:
         raise InvalidLengthError
     return int(length)
 
--- a/ashpath/server/http/listener.py
+++ b/ashpath/server/http/listener.py
@@ -127,11 +127,11 @@
         it. One before its first request is not idle: it has its time."""
         gevent.sleep(grace_s)
         if not self.availability.ready:
-            self.table.half_close_quiet(ConnectionState.IDLE)
+            self.table.half_close_idle(ConnectionState.IDLE)
 
     def close_idle(self) -> None:
         """Ends connections that are between requests, and those before their first one."""
-        self.table.half_close_quiet(ConnectionState.AWAITING_FIRST_REQUEST, ConnectionState.IDLE)
+        self.table.half_close_idle(ConnectionState.AWAITING_FIRST_REQUEST, ConnectionState.IDLE)
 
     def close_all(self) -> None:
         """Ends what is left, as the process does; does not wait."""
--- a/ashpath/server/http/receive_buffer.py
+++ b/ashpath/server/http/receive_buffer.py
@@ -6,7 +6,7 @@
 class ReceiveBuffer:
     """Bytes that were received and are not consumed yet.
 
-    It doubles from `initial_size` up to `usual_size`, and grows in steps of `initial_size` past that; once it
+    It doubles from `initial_size` up to `doubling_limit`, and grows in steps of `initial_size` past that; once it
     is empty it is cut back to `initial_size`. Positions count from the first byte that is not consumed.
 
     >>> buffer = ReceiveBuffer(4, 16)
@@ -21,9 +21,9 @@
     (b'cdefgh', 4)
     """
 
-    def __init__(self, initial_size: int, usual_size: int) -> None:
+    def __init__(self, initial_size: int, doubling_limit: int) -> None:
         self.initial_size = initial_size
-        self.usual_size = usual_size
+        self.doubling_limit = doubling_limit
         self.data = bytearray(initial_size)
         self.begin = 0  # of what is not consumed, within `data`
         self.end = 0
@@ -38,7 +38,7 @@
             self.end = len(self)
             self.begin = 0
         while len(self.data) - self.end < at_least:
-            doubled = min(len(self.data), self.usual_size - len(self.data))
+            doubled = min(len(self.data), self.doubling_limit - len(self.data))
             self.data.extend(bytes(max(self.initial_size, doubled)))
         return memoryview(self.data)[self.end :]
 
--- a/ashpath/server/http/request_handler.py
+++ b/ashpath/server/http/request_handler.py
@@ -60,7 +60,7 @@
             message = self.admission.parser.parse(request)
         except InvalidRequestError as error:
             return Reply(error.status)
-        if self.admission.refusing or connection.closed_by_peer():  # who has left will submit it again
+        if self.admission.rejecting_all or connection.closed_by_peer():  # who has left will submit it again
             return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
         result = self.admission.admit(message)
         accepted = message if result is ACCEPTED else None
--- a/ashpath/server/http/request_parser.py
+++ b/ashpath/server/http/request_parser.py
@@ -24,10 +24,10 @@
     wire_names.IDEMPOTENCY_KEY_HEADER,
 }
 DESTINATION_FIELD = b"dest"
-MAX_DIGITS = 12
+MAX_NUMBER_DIGITS = 12
 MAX_TOKEN_BYTES = 256
 ORDERING_KEY_HASH_BYTES = 6
-UNNUMBERED = 0  # until it is admitted
+UNASSIGNED_MESSAGE_ID = 0  # until it is admitted
 
 
 def parse_number(text: bytes) -> int:
@@ -39,7 +39,7 @@
     Traceback (most recent call last):
     ashpath.server.http.errors.InvalidNumberError: b'1_200' is no whole number
     """
-    if not text.isdigit() or len(text) > MAX_DIGITS:
+    if not text.isdigit() or len(text) > MAX_NUMBER_DIGITS:
         raise InvalidNumberError(text)
     return int(text)
 
@@ -111,7 +111,7 @@
         except (KeyError, ValueError, StopIteration) as error:
             raise InvalidRequestError(str(error)) from error
         return StoredMessage(
-            message_id=UNNUMBERED,
+            message_id=UNASSIGNED_MESSAGE_ID,
             trace_id=trace_id,
             traffic_class=traffic_class,
             destination=destination,
--- a/ashpath/server/http/status_api.py
+++ b/ashpath/server/http/status_api.py
@@ -26,7 +26,7 @@
 from ashpath.server.timers import stored_time
 
 MAX_PAGE_ROWS = 500
-BEFORE_THE_FIRST = -1
+BEFORE_FIRST_NUMBER = -1
 
 
 class MessageRow(TypedDict):
@@ -86,7 +86,7 @@
 class PageRequest(Struct, frozen=True):
     """Which rows of a list a client asks for."""
 
-    after: int = BEFORE_THE_FIRST
+    after: int = BEFORE_FIRST_NUMBER
     """The number behind which they begin."""
     limit: int = MAX_PAGE_ROWS
 
@@ -98,7 +98,7 @@
         PageRequest(after=7, limit=500)
         """
         fields = dict(parse_qsl(query.decode("latin-1")))
-        after = int(fields.get("after", BEFORE_THE_FIRST))
+        after = int(fields.get("after", BEFORE_FIRST_NUMBER))
         limit = int(fields.get("limit", MAX_PAGE_ROWS))
         return cls(after, max(1, min(limit, MAX_PAGE_ROWS)))
 
@@ -177,7 +177,7 @@
     def messages(self, page: PageRequest) -> MessagePage:
         """Those with a higher number, in the order accepted, which is that of the live messages."""
         live = self.policy_runner.write_ahead_log.messages.live.values()
-        unfinished = (one for one in live if not one.finished and one.message_id > page.after)
+        unfinished = (message for message in live if not message.finished and message.message_id > page.after)
         found = list(islice(unfinished, page.limit + 1))
         rows = [self.message_row(message) for message in found[: page.limit]]
         listing: MessagePage = {"held": len(self.policy_runner.messages), "envelopes": rows}
--- a/ashpath/server/http/transport.py
+++ b/ashpath/server/http/transport.py
@@ -57,7 +57,7 @@
             drained += len(self.buffer)
             self.buffer.consume(len(self.buffer))
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing unread, nothing closed: fit to carry a message. Does not wait."""
         return not self.unusable and not len(self.buffer) and self.peek_byte() is None
 
--- a/ashpath/server/metrics/collector.py
+++ b/ashpath/server/metrics/collector.py
@@ -21,7 +21,7 @@
 from ashpath.server.metrics.sources import MetricsSource
 
 MAX_ROWS = 100  # destinations, or routes, with rows of their own
-DESTINATIONS_A_STEP = 500  # looked at between two switches of greenlets
+DESTINATIONS_PER_STEP = 500  # looked at between two switches of greenlets
 
 
 class GateGauge(Struct, frozen=True):
@@ -145,10 +145,12 @@
         """At most `MAX_ROWS`, those with the most messages first. Switches greenlets."""
         busiest: list[DestinationState] = []
         all_destinations = list(self.source.policy_runner.policy.destinations.values())
-        for begin in range(0, len(all_destinations), DESTINATIONS_A_STEP):
-            step = all_destinations[begin : begin + DESTINATIONS_A_STEP]
+        for begin in range(0, len(all_destinations), DESTINATIONS_PER_STEP):
+            step = all_destinations[begin : begin + DESTINATIONS_PER_STEP]
             busiest = nlargest(
-                MAX_ROWS, [*busiest, *step], key=lambda one: (one.unfinished_messages, -one.number)
+                MAX_ROWS,
+                [*busiest, *step],
+                key=lambda destination: (destination.unfinished_messages, -destination.number),
             )
             gevent.sleep(0)
         return busiest
--- a/ashpath/server/metrics/counters.py
+++ b/ashpath/server/metrics/counters.py
@@ -8,8 +8,20 @@
 
 from ashpath.core.interface import AttemptOutcome
 
-ATTEMPT_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)  # upper bounds of buckets
-MICROSECONDS = 1e6  # a second
+ATTEMPT_DURATION_BUCKETS_S = (
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.25,
+    0.5,
+    1.0,
+    2.5,
+    5.0,
+    10.0,
+    30.0,
+)  # upper bounds of buckets
+MICROSECONDS_PER_SECOND = 1e6  # a second
 
 
 class MetricsCounters:
@@ -38,7 +50,7 @@
             "ashpath_attempt_seconds",
             "Time of an attempt, to its outcome.",
             ("outcome",),
-            buckets=ATTEMPT_SECONDS,
+            buckets=ATTEMPT_DURATION_BUCKETS_S,
             registry=registry,
         )
         for outcome in AttemptOutcome:
@@ -55,4 +67,4 @@
     def attempt_finished(self, outcome: AttemptOutcome, took_us: int) -> None:
         """An attempt has its outcome, `took_us` microseconds from its start."""
         self.attempts.labels(outcome.value).inc()
-        self.attempt_seconds.labels(outcome.value).observe(took_us / MICROSECONDS)
+        self.attempt_seconds.labels(outcome.value).observe(took_us / MICROSECONDS_PER_SECOND)
--- a/ashpath/server/shutdown.py
+++ b/ashpath/server/shutdown.py
@@ -101,7 +101,7 @@
         self.state = ShutdownState.ACCEPTING
         gevent.sleep(self.limits.accept_after_term_s)
         self.state = ShutdownState.REJECTING
-        self.admission.refusing = True
+        self.admission.rejecting_all = True
         self.listener.close_idle()
 
     def finish(self, deadline: float) -> None:
--- a/benchmarks/upgrade_surroundings.py
+++ b/benchmarks/upgrade_surroundings.py
@@ -226,7 +226,7 @@
     def _connect(self) -> HttpConnection:
         """The connection that is kept, if it was not closed meanwhile; else a new one."""
         kept = self._connection
-        if kept is not None and not self._in_two_pieces and kept.is_quiet():
+        if kept is not None and not self._in_two_pieces and kept.is_idle():
             return kept
         if kept is not None:
             kept.close()
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -36,7 +36,7 @@
         pool.release("e1", connection)
     closed.write(b"nonsense\r\n\r\n")  # the far end closes the connection in response
     spoilt.write(request("s", "free", "200", 1))  # leaves a response that nobody reads
-    until(lambda: not closed.is_quiet() and not spoilt.is_quiet())
+    until(lambda: not closed.is_idle() and not spoilt.is_idle())
     assert pool.acquire_idle("e1") is good
     assert pool.open == 2
     backdate_idle_connection(pool, 0, LIMITS.endpoint_idle_s)
--- a/tests/server/http/test_request_handler.py
+++ b/tests/server/http/test_request_handler.py
@@ -58,7 +58,7 @@
 
 
 def test_nothing_is_submitted_once_admission_refuses(stages: ListenerStages) -> None:
-    stages.listener.handler.admission.refusing = True
+    stages.listener.handler.admission.rejecting_all = True
     assert handle(stages, request("a", "free", "200", 1)).status == 503
     assert not stages.receiver.events
 
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -51,7 +51,7 @@
     asked = []
     for number, wire in enumerate((*kept[:3], silent)):
         gevent.sleep(0.2)
-        assert wire.is_quiet(), f"connection {number} was closed before it could ask"
+        assert wire.is_idle(), f"connection {number} was closed before it could ask"
         wire.write(request(f"d{number}", "free", "200", 4))
         asked.append(wire.read_response())
     slow.write(request("d-slow", "free", "200", 3)[40:])
