--- a/ashpath/server/http/receive_buffer.py
+++ b/ashpath/server/http/receive_buffer.py
@@ -6,8 +6,8 @@
 class ReceiveBuffer:
     """Bytes that were received and are not consumed yet.
 
-    It doubles from `initial_size` up to `doubling_limit`, and grows in steps of `initial_size` past that; once it
-    is empty it is cut back to `initial_size`. Positions count from the first byte that is not consumed.
+    The buffer doubles from `initial_size` up to `doubling_limit`, and grows in steps of `initial_size` above
+    that; once it is empty, it shrinks to `initial_size`. Positions count from the first unconsumed byte.
 
     >>> buffer = ReceiveBuffer(4, 16)
     >>> for part in (b"abc", b"defgh"):
--- a/tests/server/control/test_connection_table.py
+++ b/tests/server/control/test_connection_table.py
@@ -32,7 +32,7 @@
     return made
 
 
-def test_the_longest_silent_one_gives_way(table: ControlConnectionTable, pairs: list[Pair]) -> None:
+def test_longest_silent_connection_is_evicted(table: ControlConnectionTable, pairs: list[Pair]) -> None:
     assert table.full
     table.mark_active(pairs[0][0])
     assert table.evict_silent()
@@ -41,7 +41,9 @@
     assert pairs[1][1].recv(100) == b""
 
 
-def test_one_whose_bytes_wait_does_not_give_way(table: ControlConnectionTable, pairs: list[Pair]) -> None:
+def test_connection_with_unread_bytes_is_not_evicted(
+    table: ControlConnectionTable, pairs: list[Pair]
+) -> None:
     pairs[0][1].sendall(b"PI")
     assert table.evict_silent()
     assert pairs[1][0] not in table.connections
@@ -51,7 +53,7 @@
     assert pairs[0][0].recv(100) == b"PIPI"  # nothing of it was taken
 
 
-def test_one_that_ended_needs_no_place(table: ControlConnectionTable, pairs: list[Pair]) -> None:
+def test_ended_connection_frees_its_slot(table: ControlConnectionTable, pairs: list[Pair]) -> None:
     table.remove(pairs[0][0])
     table.remove(pairs[0][0])  # as it may have given way before
     assert not table.full
--- a/tests/server/control/test_operator_commands.py
+++ b/tests/server/control/test_operator_commands.py
@@ -24,7 +24,7 @@
     return world
 
 
-def test_commands_are_answered_beside_operators_that_say_nothing(started: World) -> None:
+def test_commands_are_answered_beside_silent_operators(started: World) -> None:
     with (
         socket.create_connection(started.control_address) as half,
         socket.create_connection(started.control_address) as silent,
@@ -37,7 +37,7 @@
         assert silent.recv(100).startswith(b"ERR no whole line")
 
 
-def test_a_lame_duck_is_not_ready_and_serves_what_comes(started: World) -> None:
+def test_lame_duck_is_not_ready_and_serves_requests(started: World) -> None:
     assert started.response_status(READY) == 200
     idle = started.connect()
     assert idle is not None
@@ -50,19 +50,19 @@
     until(lambda: started.response_status(READY) == 200)
 
 
-def test_operators_that_say_nothing_keep_nobody_out(started: World) -> None:
+def test_silent_operators_do_not_block_other_operators(started: World) -> None:
     """Of very many the longest silent ones give way."""
-    crowd = [socket.create_connection(started.control_address) for _ in range(500)]
-    crowd[0].sendall(b"PI")
+    connections = [socket.create_connection(started.control_address) for _ in range(500)]
+    connections[0].sendall(b"PI")
     for _ in range(10):
         assert started.operator_command(b"PING\n") == b"OK\n"
-        crowd += [socket.create_connection(started.control_address) for _ in range(20)]
+        connections += [socket.create_connection(started.control_address) for _ in range(20)]
     assert started.response_status(READY) == 200
-    for connection in crowd:
+    for connection in connections:
         connection.close()
 
 
-def test_an_endpoint_stays_detached_over_a_listing_and_a_restart(started: World) -> None:
+def test_detached_endpoint_stays_detached_after_new_list_and_restart(started: World) -> None:
     for _ in range(2):  # two DETACH need one ATTACH
         assert started.operator_command(b"DETACH e5\n").startswith(b"OK")
     assert started.submit("h1", "free", "200", 5, time_left_ms=3000) == 202
--- a/tests/server/control/test_protocol.py
+++ b/tests/server/control/test_protocol.py
@@ -30,17 +30,17 @@
 
 
 @pytest.mark.parametrize(("received", "command"), COMMANDS)
-def test_a_whole_line_is_a_command(received: bytes, command: OperatorCommand) -> None:
+def test_complete_line_parses_to_its_command(received: bytes, command: OperatorCommand) -> None:
     assert parse_command(received) == command
 
 
 @pytest.mark.parametrize("received", [b"", b"LAMEDUCK", b"DETACH ep-3\r"])
-def test_a_line_that_is_not_whole_is_no_command_yet(received: bytes) -> None:
+def test_incomplete_line_gives_no_command_yet(received: bytes) -> None:
     assert parse_command(received) is None
 
 
 @pytest.mark.parametrize(("received", "reason"), INVALID)
-def test_an_invalid_line_has_a_reason(received: bytes, reason: str) -> None:
+def test_invalid_line_raises_its_reason(received: bytes, reason: str) -> None:
     with pytest.raises(InvalidCommandError) as raised:
         parse_command(received)
     assert str(raised.value) == reason
@@ -55,11 +55,11 @@
         (CommandResult(succeeded=False, message="caf\xe9"), b"ERR caf?\n"),
     ],
 )
-def test_an_answer_is_one_line(result: CommandResult, line: bytes) -> None:
+def test_result_is_encoded_as_one_line(result: CommandResult, line: bytes) -> None:
     assert encode_result(result) == line
 
 
-def test_an_answer_is_cut_to_what_a_line_may_have() -> None:
+def test_long_answer_is_truncated_to_line_limit() -> None:
     line = encode_result(CommandResult(succeeded=False, message="x" * 1000))
     assert len(line) <= MAX_LINE_BYTES
     assert line.endswith(b"x\n")
--- a/tests/server/http/test_admission.py
+++ b/tests/server/http/test_admission.py
@@ -15,7 +15,7 @@
 from ashpath.server.storage.log_directory import BLOCK_BYTES
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
-SAME_ID = (request("i", "free", "200", 1), request("i", "once", "500", 1))
+SAME_TRACE_ID = (request("i", "free", "200", 1), request("i", "once", "500", 1))
 
 
 def admission_and_log(folder: Path, max_bytes: int = 1 << 20) -> tuple[Admission, WriteAheadLog]:
@@ -24,11 +24,11 @@
     return listener.handler.admission, write_ahead_log
 
 
-def test_a_trace_id_that_is_in_use(tmp_path: Path) -> None:
+def test_trace_id_of_live_message_is_rejected_as_duplicate(tmp_path: Path) -> None:
     """The same id from another client meets no second message, until the first is over."""
     listener, receiver, write_ahead_log = client_listener(tmp_path)
     admission = listener.handler.admission
-    first, second = (read_request(data) for data in SAME_ID)
+    first, second = (read_request(data) for data in SAME_TRACE_ID)
     assert admission.admit(admission.parser.parse(first)) == AdmissionResult(HTTPStatus.ACCEPTED)
     assert admission.admit(admission.parser.parse(second)) == AdmissionResult(HTTPStatus.CONFLICT)
     assert len(write_ahead_log.messages.live) == 1
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("result", REJECTIONS, ids=repr)
-def test_the_policy_does_not_accept(tmp_path: Path, result: SubmitResult) -> None:
+def test_policy_rejection_gives_its_status_and_retry_after(tmp_path: Path, result: SubmitResult) -> None:
     """What the policy decides in the batch of the submission is what the client reads."""
     listener, receiver, _ = client_listener(tmp_path)
     receiver.submit_result = result
@@ -56,46 +56,48 @@
     assert admission.admit(message) == REJECTIONS[result]
 
 
-def test_ledger_full(tmp_path: Path) -> None:
+def test_full_write_ahead_log_rejects_messages_and_loses_none(tmp_path: Path) -> None:
     """Never more than the disk holds, old and new file together; a 503 where there is no room, none lost."""
-    most = 8 * BLOCK_BYTES
-    admission, ledger = admission_and_log(tmp_path, most)
+    max_bytes = 8 * BLOCK_BYTES
+    admission, write_ahead_log = admission_and_log(tmp_path, max_bytes)
     statuses: list[int] = []
     sizes: list[int] = []
-    put = os.replace
+    original_replace = os.replace
 
-    def replacing(new: Path, old: Path) -> None:
+    def recording_replace(new: Path, old: Path) -> None:
         sizes.append(sum(file.stat().st_size + 512 for file in tmp_path.iterdir()))
-        put(new, old)
+        original_replace(new, old)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("ashpath.server.storage.log_file.os.replace", replacing)
+        patch.setattr("ashpath.server.storage.log_file.os.replace", recording_replace)
         for number in range(60):
             data = request(f"f{number}", "free", "200" * 100, 1)
-            entry = admission.parser.parse(read_request(data))
-            statuses.append(admission.admit(entry).status)
+            message = admission.parser.parse(read_request(data))
+            statuses.append(admission.admit(message).status)
             if statuses[-1] == 202:
-                ledger.record_attempt(entry, 1, "e1")
-                ledger.record_outcome(entry, may_have_run=True)
-                ledger.record_attempt(entry, 2, "e1")
+                write_ahead_log.record_attempt(message, 1, "e1")
+                write_ahead_log.record_outcome(message, may_have_run=True)
+                write_ahead_log.record_attempt(message, 2, "e1")
         assert statuses.count(503) > 20
-        assert statuses.count(202) == len(ledger.messages.live) > 5
+        assert statuses.count(202) == len(write_ahead_log.messages.live) > 5
         for _ in range(300):
-            ledger.record_outcome(entry := next(iter(ledger.messages.live.values())), may_have_run=True)
-            ledger.record_attempt(entry, 3, "e1")
+            write_ahead_log.record_outcome(
+                message := next(iter(write_ahead_log.messages.live.values())), may_have_run=True
+            )
+            write_ahead_log.record_attempt(message, 3, "e1")
     assert sizes
-    assert max(sizes) <= most
-    ledger.close()
-    again = WriteAheadLog(tmp_path, most)
-    assert again.messages.live.keys() == ledger.messages.live.keys()
-    assert next(iter(again.messages.live.values())).attempts == 302
-    for entry in list(again.messages.live.values()):
-        again.record_finished(entry)
-    assert not again.messages.live
-    assert again.messages.reserved_bytes == 0
-
-
-def test_queue_capacity(tmp_path: Path) -> None:
+    assert max(sizes) <= max_bytes
+    write_ahead_log.close()
+    reopened = WriteAheadLog(tmp_path, max_bytes)
+    assert reopened.messages.live.keys() == write_ahead_log.messages.live.keys()
+    assert next(iter(reopened.messages.live.values())).attempts == 302
+    for message in list(reopened.messages.live.values()):
+        reopened.record_finished(message)
+    assert not reopened.messages.live
+    assert reopened.messages.reserved_bytes == 0
+
+
+def test_message_beyond_queue_capacity_is_rejected(tmp_path: Path) -> None:
     listener, receiver, write_ahead_log = client_listener(tmp_path)
     admission = listener.handler.admission
     receiver.messages = dict.fromkeys(range(POLICY_SETTINGS.queue_capacity))
--- a/tests/server/http/test_client_connection.py
+++ b/tests/server/http/test_client_connection.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.errors import ConnectionClosedError
 
 
-def test_clients_that_leave(tmp_path: Path) -> None:
+def test_departed_client_is_not_submitted_or_is_reported_disconnected(tmp_path: Path) -> None:
     """Before the request is read: it is not submitted. Before the response is out: disconnected."""
     listener, receiver, write_ahead_log = client_listener(tmp_path)
     near, far = socket.socketpair()
@@ -32,7 +32,7 @@
     assert receiver.events == ["submitted g1", "disconnected g1"]
 
 
-def test_clients_that_stall(tmp_path: Path) -> None:
+def test_stalled_connections_end_and_leave_the_table(tmp_path: Path) -> None:
     """Silent, dripping or idle for too long: each connection ends, and nothing of it is kept."""
     listener, receiver, _ = client_listener(tmp_path, request_s=0.05, client_idle_s=0.05)
     for data, statuses in ((b"", []), (b"POST /api", [408]), (request("q", "free", "200", 1), [202])):
@@ -57,7 +57,7 @@
     assert receiver.events == ["submitted q"]
 
 
-def test_more_bytes_as_the_last_response_goes_out(tmp_path: Path) -> None:
+def test_bytes_after_last_request_do_not_reset_its_response(tmp_path: Path) -> None:
     """Guards the last response on a connection: a close over unread bytes would reset it and take it back."""
     listener, receiver, _ = client_listener(tmp_path)
     listener.begin_shutdown(respond_by=float("inf"))
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("size", [3, 60_000], ids=["short", "long"])
 @pytest.mark.parametrize("first", [True, False], ids=["first", "idle"])
-def test_a_request_as_its_connection_is_drained(tmp_path: Path, first: bool, size: int) -> None:
+def test_request_sent_during_drain_is_not_submitted_or_reset(tmp_path: Path, first: bool, size: int) -> None:
     """Guards a request that comes in the instant of the shutdown: it is not submitted, as nobody could be
     answered; its client sees an end in order and asks elsewhere."""
     listener, receiver, _ = client_listener(tmp_path)
@@ -99,7 +99,7 @@
     assert not listener.table.count(*ConnectionState)
 
 
-def test_a_request_cut_within(tmp_path: Path) -> None:
+def test_truncated_request_is_answered_400_and_not_submitted(tmp_path: Path) -> None:
     """A client that ends its side within a request can read what was wrong; nothing is submitted."""
     listener, receiver, _ = client_listener(tmp_path)
     data = request("a", "free", "200 " + "x" * 300, 1)
@@ -112,7 +112,7 @@
     assert not receiver.events
 
 
-def test_a_client_that_floods_and_leaves(tmp_path: Path) -> None:
+def test_flooding_client_that_resets_frees_its_connection_slot(tmp_path: Path) -> None:
     """Its place is free again, and nothing of it was submitted."""
     listener, receiver, _ = client_listener(tmp_path)
     near, far = tcp_pair()
--- a/tests/server/http/test_connection.py
+++ b/tests/server/http/test_connection.py
@@ -34,7 +34,7 @@
     return SocketPairConnection(near)
 
 
-def test_a_body_is_pending_behind_the_head_of_a_200() -> None:
+def test_body_of_200_is_pending_after_its_head() -> None:
     connection = receiving(OK + b"Content-Length: 2\r\n\r\nok")
     response = connection.read_response()
     assert response.well_formed
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("rest", [b"", b"no colon\r\n\r\n", b"Content-Length: 3000000000\r\n\r\n"])
-def test_a_200_counts_whatever_follows(rest: bytes) -> None:
+def test_200_is_returned_despite_invalid_rest(rest: bytes) -> None:
     connection = receiving(OK + rest)
     response = connection.read_response()
     assert response.status == 200
@@ -58,7 +58,7 @@
     assert connection.unusable
 
 
-def test_late_success() -> None:
+def test_late_success_returns_only_complete_200_status_line() -> None:
     connection = receiving(OK)
     success = connection.late_success()
     assert success is not None
@@ -68,7 +68,7 @@
     assert receiving(OK[:12]).late_success() is None
 
 
-def test_interim_responses_are_passed_over() -> None:
+def test_interim_responses_are_skipped_before_final_one() -> None:
     interim = b"HTTP/1.1 103 X\r\nA: b\r\n\r\n"
     response = receiving(interim + ERROR + b"Content-Length: 0\r\n\r\n").read_response()
     assert response.status == 500
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("data", RESPONSE_ERRORS, ids=lambda data: str(data[:40]))
-def test_response_errors(data: bytes) -> None:
+def test_invalid_response_raises_and_makes_connection_unusable(data: bytes) -> None:
     connection = receiving(data)
     with pytest.raises(RESPONSE_ERRORS[data]):
         connection.read_response()
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("data", REQUEST_ERRORS, ids=lambda data: str(data[:60]))
-def test_request_errors(data: bytes) -> None:
+def test_invalid_request_raises_error_with_status(data: bytes) -> None:
     error, status = REQUEST_ERRORS[data]
     with pytest.raises(error) as raised:
         receiving(data).read_request()
--- a/tests/server/http/test_connection_table.py
+++ b/tests/server/http/test_connection_table.py
@@ -13,7 +13,7 @@
 from ashpath.server.http.connection_table import ConnectionState
 
 
-def test_clients_that_ask_once_and_stay(tmp_path: Path) -> None:
+def test_longest_idle_clients_are_closed_beyond_idle_limit(tmp_path: Path) -> None:
     """Those idle longest are closed, so that others find a connection; whose request has just come is not."""
     listener, receiver, _ = client_listener(tmp_path, idle_client_connections=2, client_idle_s=60.0)
     clients = []
@@ -30,7 +30,7 @@
     until(lambda: len(receiver.events) == 6)
 
 
-def test_a_client_that_stays_after_its_end(tmp_path: Path) -> None:
+def test_half_closed_client_is_evicted_before_active_ones(tmp_path: Path) -> None:
     """One that was drained and stays makes room at once, before anybody who still asks."""
     listener, _, _ = client_listener(tmp_path, silent_eviction_s=0.0, stalled_request_s=0.0)
     (near, far), (other, asks) = tcp_pair(), tcp_pair()
@@ -51,7 +51,7 @@
     until(lambda: asking.dead)
 
 
-def test_a_stalled_request_whose_rest_has_just_come(tmp_path: Path) -> None:
+def test_request_with_unread_bytes_is_not_evicted_as_stalled(tmp_path: Path) -> None:
     """Guards a request whose last byte is in: its connection makes no room, the next stalled one does."""
     listener, receiver, _ = client_listener(tmp_path, stalled_request_s=0.0)
     (near, far), (other, stalled) = tcp_pair(), tcp_pair()
@@ -69,7 +69,7 @@
     until(lambda: served.dead)
 
 
-def test_bytes_that_wait_as_the_process_ends(tmp_path: Path) -> None:
+def test_unread_bytes_at_exit_do_not_reset_client(tmp_path: Path) -> None:
     """Guards clients against the exit, which closes what is open: half a request unread would reset it."""
     listener, receiver, _ = client_listener(tmp_path)
     near, far = tcp_pair()
--- a/tests/server/http/test_framing.py
+++ b/tests/server/http/test_framing.py
@@ -36,7 +36,7 @@
     buffer.commit(len(data))
 
 
-def test_the_end_is_found_with_the_last_byte() -> None:
+def test_body_end_is_found_with_its_last_byte() -> None:
     buffer, framing = ReceiveBuffer(64, 64), ChunkedFraming(MAX_BODY_BYTES)
     ends = []
     for position in range(len(BODY)):
@@ -46,14 +46,14 @@
     assert buffer.consume(len(BODY)) == BODY
 
 
-def test_what_follows_is_not_part_of_it() -> None:
+def test_bytes_after_body_are_not_part_of_it() -> None:
     buffer = ReceiveBuffer(64, 64)
     receive(buffer, BODY + b"HTTP/1.1 200 OK\r\n")
     assert ChunkedFraming(MAX_BODY_BYTES).end(buffer) == len(BODY)
 
 
 @pytest.mark.parametrize("data", INVALID, ids=lambda data: str(data[:20]))
-def test_invalid_chunks(data: bytes) -> None:
+def test_invalid_chunks_raise_specific_error(data: bytes) -> None:
     error, message = INVALID[data]
     buffer = ReceiveBuffer(64, 64)
     receive(buffer, data)
--- a/tests/server/http/test_listener.py
+++ b/tests/server/http/test_listener.py
@@ -16,7 +16,7 @@
 CHUNKED = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n%s\r\n"
 
 
-ASKED = {
+STATUS_BY_REQUEST = {
     b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n\r\n": 400,
     request("x", "unknown", "200", 1): 400,
     request("x", "free", "200", 1).replace(b"dest=1", b"dest=one"): 400,
@@ -50,27 +50,27 @@
 }
 
 
-def test_clients(world: World) -> None:
+def test_requests_get_their_status_beside_stalled_clients(world: World) -> None:
     world.start()
     stalled = [
         world.connect() for _ in range(LIMITS.client_connections + 20)
     ]  # more than it has descriptors for
-    for wire in stalled:
-        assert wire is not None
-        wire.write(b"POST /api HTTP/1.1\r\n")
-    for data, status in ASKED.items():
+    for connection in stalled:
+        assert connection is not None
+        connection.write(b"POST /api HTTP/1.1\r\n")
+    for data, status in STATUS_BY_REQUEST.items():
         assert world.response_status(data) == status, data[:60]
     until(lambda: world.attempt_count("big") == 1)
     assert not world.attempt_count("x")
     assert not world.attempt_count("hidden")
     assert world.process is not None
     assert world.process.poll() is None
-    for wire in stalled:
-        assert wire is not None
-        wire.close()
+    for connection in stalled:
+        assert connection is not None
+        connection.close()
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_down(world: World) -> None:
+def test_discovery_reconnects_while_idle_clients_fill_descriptors(world: World) -> None:
     """Guards discovery, notices and the control address: each is dialled anew within what clients leave."""
     held: list[socket.socket] = []
 
@@ -88,9 +88,9 @@
     for sock in held:
         reset_connection(sock)
     clients = [world.connect() for _ in range(LIMITS.client_connections + 40)]
-    for wire in clients[::2]:
-        assert wire is not None
-        wire.sock.sendall(b"GET /health/ready HTTP/1.1\r\n\r\n")
+    for connection in clients[::2]:
+        assert connection is not None
+        connection.sock.sendall(b"GET /health/ready HTTP/1.1\r\n\r\n")
     assert (
         world.submit("owed", "once", "hang", 1, time_left_ms=300) == 202
     )  # its notice has nowhere to go yet
@@ -111,12 +111,12 @@
     assert "unexpected error" not in log
     assert "Too many open files" not in log
     assert world.process.poll() is None
-    for wire in clients:
-        assert wire is not None
-        wire.close()
+    for connection in clients:
+        assert connection is not None
+        connection.close()
 
 
-def test_a_listening_socket_that_is_lost_is_opened_anew(world: World) -> None:
+def test_lost_listening_socket_is_reopened(world: World) -> None:
     """Guards clients: accepting on a descriptor that will never serve again would serve nobody."""
     world.faults = ProcessFaults((CallFault(FaultyCall.ACCEPT, "EINVAL", skip=3, count=3),))
     world.start()
--- a/tests/server/http/test_request_handler.py
+++ b/tests/server/http/test_request_handler.py
@@ -29,7 +29,7 @@
     return stages.listener.handler.handle(connection.read_request(), connection)
 
 
-def test_readiness(stages: ListenerStages) -> None:
+def test_readiness_is_503_in_lame_duck_and_shutdown(stages: ListenerStages) -> None:
     assert handle(stages, READY).status == 200
     stages.listener.availability.lame_duck = True
     assert handle(stages, READY).status == 503
@@ -47,7 +47,7 @@
         (request("a", "x", "", 1), 400),
     ],
 )
-def test_what_is_not_served(stages: ListenerStages, data: bytes, status: int) -> None:
+def test_unserved_request_gets_error_status(stages: ListenerStages, data: bytes, status: int) -> None:
     assert handle(stages, data).status == status
     assert not stages.receiver.events
 
@@ -57,7 +57,7 @@
     assert not stages.receiver.events
 
 
-def test_nothing_is_submitted_once_admission_refuses(stages: ListenerStages) -> None:
+def test_nothing_is_submitted_once_admission_rejects_all(stages: ListenerStages) -> None:
     stages.listener.handler.admission.rejecting_all = True
     assert handle(stages, request("a", "free", "200", 1)).status == 503
     assert not stages.receiver.events
--- a/tests/server/http/test_request_parser.py
+++ b/tests/server/http/test_request_parser.py
@@ -31,7 +31,7 @@
     return RequestParser(POLICY_SETTINGS, {name: number for number, name in enumerate(TRAFFIC_CLASSES)})
 
 
-def test_valid_request(parser: RequestParser) -> None:
+def test_valid_request_yields_its_message(parser: RequestParser) -> None:
     before = stored_time()
     message = parser.parse(read_request(VALID))
     assert (message.message_id, message.trace_id, message.traffic_class) == (0, "t1", 1)
@@ -51,7 +51,9 @@
 
 
 @pytest.mark.parametrize(("replaced", "message"), INVALID.items())
-def test_invalid_request(parser: RequestParser, replaced: tuple[bytes, bytes], message: str) -> None:
+def test_invalid_request_raises_reason_with_status_400(
+    parser: RequestParser, replaced: tuple[bytes, bytes], message: str
+) -> None:
     invalid = read_request(VALID.replace(*replaced))
     with pytest.raises(InvalidRequestError) as raised:
         parser.parse(invalid)
--- a/tests/server/metrics/test_collector.py
+++ b/tests/server/metrics/test_collector.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(("destinations", "routes"), [(5000, 1), (1, 5000)])
-def test_rows_are_bounded(destinations: int, routes: int) -> None:
+def test_destination_rows_are_limited_to_max_rows(destinations: int, routes: int) -> None:
     """Guards the scraper, and batches, against very many destinations, or one with very many routes."""
     gate = Mock(snapshot=lambda: GateSnapshot("x1", 1, 0, BreakerState.OPEN, 0.0, 0.0, False, 0))
     destination = Mock(number=7, unfinished_messages=1, endpoints=[], gates=lambda: [gate] * routes)
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("route", ["", "x1"])
-def test_a_gate_is_labelled_with_its_destination_and_its_route(route: str) -> None:
+def test_gate_samples_are_labelled_with_destination_and_route(route: str) -> None:
     gate = GateSnapshot(route, 5, 2, BreakerState.HALF_OPEN, 7.5, 1.0, True, 0)
     destination = Mock(number=7, unfinished_messages=3)
     destination.snapshot.return_value = DestinationSnapshot(7, 1, 3, (gate,))
@@ -34,7 +34,9 @@
     collector = GaugeCollector(Mock(policy_runner=SimpleNamespace(policy=policy)))
     samples = [sample for family in collector.destination_gauges() for sample in family.samples]
     labels = {"destination": "7", "route": route}
-    assert [(one.name.removeprefix("ashpath_destination_"), one.labels, one.value) for one in samples] == [
+    assert [
+        (sample.name.removeprefix("ashpath_destination_"), sample.labels, sample.value) for sample in samples
+    ] == [
         ("messages", {"destination": "7"}, 3),
         ("limit", labels, 5),
         ("in_flight", labels, 2),
--- a/tests/server/metrics/test_metrics.py
+++ b/tests/server/metrics/test_metrics.py
@@ -38,7 +38,9 @@
     connection.close()
     assert response.status == 200
     samples = (sample for family in families for sample in family.samples)
-    return {(one.name.removeprefix("ashpath_"), *one.labels.values()): one.value for one in samples}
+    return {
+        (sample.name.removeprefix("ashpath_"), *sample.labels.values()): sample.value for sample in samples
+    }
 
 
 def is_listening(address: Address) -> bool:
@@ -53,7 +55,7 @@
     until(lambda: address is None or is_listening(address))
 
 
-def test_counts_and_gauges(world: World) -> None:
+def test_scrape_shows_counters_and_gauges_of_deliveries(world: World) -> None:
     address = free_address()
     world.members[6]["host_port"] = "127.0.0.1:1"
     world.configure()
@@ -63,7 +65,7 @@
         assert world.submit(trace_id, traffic_class, body, destination) == 202
     assert world.submit("f", "free", "200", 6, time_left_ms=300) == 202
     until(lambda: world.notified("c") and world.notified("f") and scrape(address).get(DELIVERED) == 2)
-    found = scrape(address)
+    samples = scrape(address)
     specifics = SETTINGS["specifics"]
     assert isinstance(specifics, dict)
     expected = {
@@ -80,18 +82,18 @@
         ("destination_in_flight", "3", ""): 1,
         ("destination_limit", "6", ""): 0,
     }
-    assert {key: found[key] for key in expected} == expected
-    assert found["attempts_total", "no connection"] >= 1
-    assert found["endpoint_list_age_seconds",] < 10
-    assert found["discovery_stale_records_total",] == 0
-    assert found["write_ahead_log_behind",] == 0
-    assert found["discovery_polls_total", "answering"] >= 0
-    assert 0 < found["write_ahead_log_bytes",] < found["write_ahead_log_max_bytes",]
-    assert found["destination_breaker", "6", ""] in (1, 2)
-    assert found["destination_limit", "0", ""] > 0
-
-
-def test_scrapers_that_say_nothing_or_do_not_read_hold_up_nobody(world: World) -> None:
+    assert {key: samples[key] for key in expected} == expected
+    assert samples["attempts_total", "no connection"] >= 1
+    assert samples["endpoint_list_age_seconds",] < 10
+    assert samples["discovery_stale_records_total",] == 0
+    assert samples["write_ahead_log_behind",] == 0
+    assert samples["discovery_polls_total", "answering"] >= 0
+    assert 0 < samples["write_ahead_log_bytes",] < samples["write_ahead_log_max_bytes",]
+    assert samples["destination_breaker", "6", ""] in (1, 2)
+    assert samples["destination_limit", "0", ""] > 0
+
+
+def test_silent_scrapers_do_not_delay_submissions(world: World) -> None:
     address = free_address()
     world.start()
     move_metrics(world, "configuration read", address)
@@ -104,17 +106,17 @@
         assert scrape(address)["messages_accepted_total", "free"] == 20
 
 
-def test_an_address_that_moves(pair: tuple[World, World]) -> None:
+def test_metrics_address_changes_and_counters_continue(pair: tuple[World, World]) -> None:
     """To one in use: one line, and the old one serves on. To none: nobody is served. Counts are kept. In a
     hot upgrade the new process starts beside the one that has it, and takes it once that ends."""
     old, new = pair
-    first, second, taken = free_address(), free_address(), socket.socket()
-    taken.bind(("127.0.0.1", 0))
-    taken.listen(1)
+    first, second, in_use = free_address(), free_address(), socket.socket()
+    in_use.bind(("127.0.0.1", 0))
+    in_use.listen(1)
     move_metrics(old, "configuration read", first)
     assert old.submit("a", "free", "200", 0) == 202
     until(lambda: scrape(first).get(DELIVERED) == 1)
-    move_metrics(old, "metrics address not changed", taken.getsockname())
+    move_metrics(old, "metrics address not changed", in_use.getsockname())
     assert scrape(first)[DELIVERED] == 1
     for before, after in ((first, second), (second, None)):
         move_metrics(old, "configuration read", after)
@@ -131,7 +133,7 @@
     assert DELIVERED not in scrape(first)
 
 
-def test_an_address_in_the_own_file(tmp_path: Path) -> None:
+def test_listen_address_in_configuration_file_is_applied(tmp_path: Path) -> None:
     """Taken at SIGHUP; an address in use at the start is one line that names file and key."""
     alone, address = Alone(tmp_path), free_address()
     alone.start()
@@ -141,7 +143,9 @@
     assert scrape(address)["max_in_flight",]
     (tmp_path / "second").mkdir()
     second = Alone(tmp_path / "second", rest=alone.rest)
-    said = f"ashpath: {second.file}: metrics.listen: 127.0.0.1:{address[1]}: Address already in use\n"
-    done = second.run("serve", str(second.file))
-    assert (done.returncode, done.stderr) == (2, said)
+    expected_error = (
+        f"ashpath: {second.file}: metrics.listen: 127.0.0.1:{address[1]}: Address already in use\n"
+    )
+    completed = second.run("serve", str(second.file))
+    assert (completed.returncode, completed.stderr) == (2, expected_error)
     alone.stop()
