--- a/ashpath/server/control/__init__.py
+++ b/ashpath/server/control/__init__.py
@@ -1,8 +1,8 @@
-"""The operators' address: one command a connection, answered by one line.
+"""The control address for operators: one command per connection, answered by one line.
 
-`commands` has the types, `protocol` the codec of the lines, `listener` accepts, `connection` serves one
-operator, and `connection_table` decides who gives way when too many are connected. The runtime makes the
-listener, and hands it a `CommandHandler` that carries commands out. The package decides nothing about
-messages or endpoints, never waits for an operator longer than `ServerLimits` allows, and never lets one
-operator keep another out.
+`commands` defines the types, `protocol` is the codec of the lines, `listener` accepts connections,
+`connection` serves one operator, and `connection_table` chooses the connection that is evicted when too many
+are open. The runtime creates the listener with a `CommandHandler` that executes the commands. The package
+makes no decision about messages or endpoints, waits for an operator at most as long as `ServerLimits` allows,
+and lets no operator block another.
 """
--- a/ashpath/server/control/commands.py
+++ b/ashpath/server/control/commands.py
@@ -1,4 +1,4 @@
-"""What an operator may command at the control address, and what comes of it: types only, free of I/O."""
+"""Commands of operators at the control address, and their results: types without I/O."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class Verb(Enum):
-    """The first word of a command, as on the wire."""
+    """First word of a command, as on the wire."""
 
-    PING = "PING"  # does the sender serve?
+    PING = "PING"  # check that the sender serves
     DETACH = "DETACH"  # take an endpoint out of service for this sender, whatever the endpoint list says
     ATTACH = "ATTACH"  # undo DETACH
     LAMEDUCK = "LAMEDUCK"  # report not ready and drain clients, but go on serving
@@ -22,27 +22,27 @@
 
 
 class OperatorCommand(Struct, frozen=True):
-    """A command; one that names an endpoint is an `EndpointCommand`."""
+    """A command; `EndpointCommand` is the type of those that name an endpoint."""
 
     verb: Verb
 
 
 class EndpointCommand(OperatorCommand, frozen=True):
-    """A command on one endpoint: its verb is one of `ENDPOINT_VERBS`."""
+    """A command on one endpoint, with a verb of `ENDPOINT_VERBS`."""
 
     endpoint_id: str
 
 
 class CommandResult(Struct, frozen=True):
-    """What the answer to a command says."""
+    """Result of a command, as the answer reports it."""
 
     succeeded: bool
-    message: str = ""  # the reason where it did not succeed, else what was done; may be empty
+    message: str = ""  # the reason of a failure, else what was done; may be empty
 
 
 class CommandHandler(Protocol):
-    """Carries out operators' commands."""
+    """Executes operators' commands."""
 
     def handle(self, command: OperatorCommand) -> CommandResult:
-        """Carries out one command. It must not wait: no time limit covers it."""
+        """Executes one command. Implementations must not wait, as no time limit covers the call."""
         ...
--- a/ashpath/server/control/connection.py
+++ b/ashpath/server/control/connection.py
@@ -1,8 +1,8 @@
 """One operator's connection, from its accept to its close.
 
-reads a line ──whole──> the handler carries it out ──> the result is sent ──> closed
-     ├──no command, or not whole within `control_timeout_s`──> the reason is sent ──> closed
-     └──the operator leaves, or gave way to another──> closed
+reads a line ──complete──> the handler executes it ──> the result is sent ──> closed
+     ├──invalid, or incomplete after `control_timeout_s`──> the reason is sent ──> closed
+     └──the operator leaves, or the connection is evicted──> closed
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from ashpath.server.limits import ServerLimits
 from ashpath.server.logs import Logger
 
-READ_BYTES = 512  # at once: more than a line may have
+READ_BYTES = 512  # per read: more than a line may have
 
 
 class ControlConnection:
-    """Serves one command, in a greenlet of its own. It is in `table` from its accept until it ends."""
+    """Serves one command, in a greenlet of its own; `table` contains the socket until the connection ends."""
 
     def __init__(
         self,
@@ -39,7 +39,8 @@
         self.logger = logger
 
     def serve(self) -> None:
-        """To the connection's end. A command is carried out even where its operator has left by then."""
+        """Reads a command, executes it and answers. A complete command is executed even if its operator has
+        left."""
         try:
             command = self.read_command()
             if command is not None:
@@ -50,14 +51,14 @@
             reason = f"no whole line in {self.limits.control_timeout_s:g} s"
             self.send(CommandResult(succeeded=False, message=reason))
         except OSError:
-            pass  # the operator is gone, or gave way: nobody is left to answer
+            pass  # the operator has left or was evicted, and reads no answer
         finally:
             self.table.remove(self.socket)
             with suppress(OSError):
                 self.socket.close()
 
     def read_command(self) -> OperatorCommand | None:
-        """None where the operator left before its line was whole.
+        """Returns the command, or None if the operator left before its line was complete.
 
         Raises InvalidCommandError, Timeout and OSError."""
         received = b""
@@ -73,7 +74,7 @@
                     return command
 
     def execute(self, command: OperatorCommand) -> CommandResult:
-        """Hands the command on, and logs what came of it."""
+        """Passes the command to the handler, and logs its result."""
         result = self.handler.handle(command)
         argument = command.endpoint_id if isinstance(command, EndpointCommand) else None
         self.logger.info(
@@ -86,6 +87,6 @@
         return result
 
     def send(self, result: CommandResult) -> None:
-        """Answers, unless the operator left or takes longer to read it than `response_write_s`."""
+        """Writes the answer, unless the operator has left or does not read it within `response_write_s`."""
         with suppress(OSError, Timeout), Timeout(self.limits.response_write_s):
             self.socket.sendall(encode_result(result))
--- a/ashpath/server/control/connection_table.py
+++ b/ashpath/server/control/connection_table.py
@@ -1,4 +1,4 @@
-"""Who is connected to the control address, and who gives way when one more comes than may be."""
+"""Open connections at the control address, and the choice of the one that is evicted at the limit."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ControlConnectionTable:
-    """The open connections by when something last came of them: the longest silent one first."""
+    """Open connections in the order of their last input, the longest silent one first."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -22,23 +22,23 @@
 
     @property
     def full(self) -> bool:
-        """Whether one must give way before another is added."""
+        """Whether a connection must be evicted before another is added."""
         return len(self.connections) >= self.capacity
 
     def add(self, connection: socket.socket) -> None:
-        """A connection that was just accepted."""
+        """Adds an accepted connection."""
         self.connections[connection] = None
 
     def mark_active(self, connection: socket.socket) -> None:
-        """Something came of it."""
+        """Records that bytes were received on a connection."""
         self.connections.move_to_end(connection)
 
     def remove(self, connection: socket.socket) -> None:
-        """It ends; also where it gave way already."""
+        """Removes a connection, if it was not evicted before."""
         self.connections.pop(connection, None)
 
     def evict_silent(self) -> bool:
-        """Ends the longest silent connection; False where bytes of all of them wait to be read."""
+        """Closes the longest silent connection without unread input; returns False if all have some."""
         for connection in self.connections:
             if not has_unread_input(connection):
                 del self.connections[connection]
@@ -51,7 +51,7 @@
 
 
 def has_unread_input(connection: socket.socket) -> bool:
-    """Whether bytes of it, or its end, wait to be read. Does not wait."""
+    """Whether bytes, or the end of the connection, wait to be read. Does not wait."""
     connection.settimeout(0)
     try:
         connection.recv(1, socket.MSG_PEEK)
--- a/ashpath/server/control/errors.py
+++ b/ashpath/server/control/errors.py
@@ -1,10 +1,10 @@
-"""What can be wrong with what an operator sends: the message of each is the reason that the answer gives."""
+"""Errors in the line of an operator; the answer reports an error's message as its reason."""
 
-MAX_QUOTED_VERB = 32  # characters of an unknown verb that its message repeats
+MAX_QUOTED_VERB = 32  # characters of an unknown verb that the message quotes
 
 
 class InvalidCommandError(ValueError):
-    """The line is no command."""
+    """The line is not a valid command."""
 
 
 class LineTooLongError(InvalidCommandError):
@@ -29,21 +29,21 @@
 
 
 class EmptyLineError(InvalidCommandError):
-    """The line has no word."""
+    """The line contains no word."""
 
     def __init__(self) -> None:
         super().__init__("empty line")
 
 
 class UnknownVerbError(InvalidCommandError):
-    """The line's first word is no verb."""
+    """The line's first word is not a verb."""
 
     def __init__(self, word: str) -> None:
         super().__init__(f"unknown call {word[:MAX_QUOTED_VERB]!r}")
 
 
 class ArgumentCountError(InvalidCommandError):
-    """The verb takes one argument and has none or several, or takes none and has one."""
+    """The number of arguments is wrong: endpoint verbs take one argument, the other verbs none."""
 
     def __init__(self, verb: str, *, takes_endpoint: bool) -> None:
         expected = "one argument, an endpoint id" if takes_endpoint else "no argument"
--- a/ashpath/server/control/listener.py
+++ b/ashpath/server/control/listener.py
@@ -1,9 +1,10 @@
-"""Accepts operators at the control address.
+"""Accepts operators' connections at the control address.
 
 Each connection has a greenlet and a time limit of its own (`ServerLimits.control_timeout_s`): an operator
-that sends nothing, or half a line, and stays holds up nobody else. Of `ServerLimits.control_connections` at
-once the longest silent one gives way to the next, unless bytes of it have just come: so silent ones keep
-nobody out, and take no more descriptors than that. What a command does is its `CommandHandler`'s business.
+that stays connected and sends nothing, or an incomplete line, delays no other operator. At
+`ServerLimits.control_connections` open connections, the longest silent one without unread bytes is evicted
+for the next: silent connections block no operator, and their descriptors are limited to that number. The
+`CommandHandler` implements the commands.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from ashpath.server.local_errors import is_closed
 from ashpath.server.logs import Logger
 
-BACKLOG = 1024  # connections not yet accepted; one that finds this full comes again a second late
-ACCEPT_RETRY_S = 0.01  # after an accept that failed
+BACKLOG = 1024  # connections not yet accepted; a connect to a full backlog is retried after a second
+ACCEPT_RETRY_S = 0.01  # after a failed accept
 
 
 class ControlListener:
-    """The listening socket of the operators' address. `listen` before `run`."""
+    """The listener of the control address; `listen` is called before `run`."""
 
-    listening_socket: socket.socket  # from `listen` on
+    listening_socket: socket.socket  # set by `listen`
 
     def __init__(
         self,
@@ -44,34 +45,36 @@
         self.table = ControlConnectionTable(limits.control_connections)
 
     def listen(self) -> None:
-        """Raises OSError where the address cannot be had."""
+        """Opens the listening socket. Raises OSError if the address is not available."""
         self.listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listening_socket.bind(self.address)
         self.listening_socket.listen(BACKLOG)
 
     def run(self) -> None:
-        """Accepts until the process ends."""
+        """Accepts connections until the process ends."""
         while True:
             try:
                 accepted = self.listening_socket.accept()[0]
-            except OSError as error:  # out of descriptors, or an operator that left again
+            except OSError as error:  # no descriptor free, or the operator has left
                 if is_closed(error):
                     self.listen_again(error)
                 gevent.sleep(ACCEPT_RETRY_S)
                 continue
             while self.table.full:
                 if not self.table.evict_silent():
-                    gevent.sleep(0)  # all have just sent something, and are answered now
+                    gevent.sleep(0)  # all have unread input, and are served now
             self.table.add(accepted)
             connection = ControlConnection(accepted, self.table, self.limits, self.handler, self.logger)
             gevent.spawn(connection.serve)
             gevent.sleep(0)
 
     def listen_again(self, error: OSError) -> None:
-        """The listening socket will accept nothing any more: operators would reach nobody."""
+        """Logs the loss of the listening socket, which can accept no further connection, and replaces it.
+
+        Without a new socket no operator could connect."""
         self.logger.error("listening socket lost", error=str(error), inherited=False)
         with suppress(OSError):
             self.listening_socket.close()
-        with suppress(OSError):  # it is tried again with the next accept
+        with suppress(OSError):  # the next failed accept retries
             self.listen()
--- a/ashpath/server/control/protocol.py
+++ b/ashpath/server/control/protocol.py
@@ -1,11 +1,11 @@
-"""The line protocol of the control address, free of I/O: bytes to a command, a result to bytes.
+"""Codec of the control address's line protocol, without I/O: bytes to a command, a result to bytes.
 
 An operator sends one line and reads one line; then the connection ends.
 
     request = verb [ SP endpoint-id ] [ CR ] LF     at most 256 bytes, printable ASCII, the verb in any case
     answer  = ( "OK" / "ERR" ) [ SP text ] LF       at most 256 bytes
 
-What stands behind the first LF is not read. docs/on-call.md has the commands for operators.
+Bytes after the first LF are ignored. docs/on-call.md documents the commands for operators.
 
 >>> parse_command(b"DETACH ep-7\\r\\n")
 EndpointCommand(verb=<Verb.DETACH: 'DETACH'>, endpoint_id='ep-7')
@@ -31,14 +31,14 @@
     UnknownVerbError,
 )
 
-MAX_LINE_BYTES = 256  # of a request or an answer, its end included
-MAX_TEXT_BYTES = MAX_LINE_BYTES - 8  # of an answer, behind its first word and before its end
+MAX_LINE_BYTES = 256  # of a request or an answer, with its line end
+MAX_TEXT_BYTES = MAX_LINE_BYTES - 8  # of an answer, between its first word and its line end
 
 
 def parse_command(received: bytes) -> OperatorCommand | None:
-    """The command in all that an operator has sent so far; None while its line is not whole.
+    """Returns the command in all bytes received from an operator, or None while its line is incomplete.
 
-    Raises InvalidCommandError: its types say what is wrong."""
+    Raises a subclass of InvalidCommandError for each kind of invalid line."""
     line = complete_line(received)
     if line is None:
         return None
@@ -49,7 +49,7 @@
 
 
 def complete_line(received: bytes) -> bytes | None:
-    """The first line without its end; None while it is not whole. Raises LineTooLongError."""
+    """Returns the first line without its end, or None while it is incomplete. Raises LineTooLongError."""
     end = received.find(b"\n")
     length = len(received) if end < 0 else end
     if length >= MAX_LINE_BYTES:
@@ -58,7 +58,7 @@
 
 
 def decode_line(line: bytes) -> str:
-    """Raises NotAsciiError and ControlCharacterError."""
+    """Returns a line as text. Raises NotAsciiError and ControlCharacterError."""
     try:
         text = line.decode("ascii")
     except UnicodeDecodeError as error:
@@ -69,7 +69,7 @@
 
 
 def build_command(name: str, arguments: list[str]) -> OperatorCommand:
-    """Raises UnknownVerbError and ArgumentCountError."""
+    """Returns the command of a verb and its arguments. Raises UnknownVerbError and ArgumentCountError."""
     try:
         verb = Verb(name.upper())
     except ValueError as error:
@@ -81,7 +81,9 @@
 
 
 def encode_result(result: CommandResult) -> bytes:
-    """The line that answers a command. Its message is cut to what fits and loses what would break the line.
+    """Returns the line that answers a command.
+
+    The message is truncated to fit; white space becomes single spaces, and non-ASCII characters become "?".
 
     >>> encode_result(CommandResult(succeeded=False, message="unknown endpoint ep-9"))
     b'ERR unknown endpoint ep-9\\n'
--- a/ashpath/server/http/admission.py
+++ b/ashpath/server/http/admission.py
@@ -1,4 +1,4 @@
-"""Admission of a message: accepted and in the write-ahead log, or rejected, with its client's response."""
+"""Admission of messages: records a message in the write-ahead log and accepts it, or rejects it."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 
 class MessageReceiver(Protocol):
-    """Who owns a message once it is accepted."""
+    """Owner of accepted messages: the policy runner."""
 
     @property
     def messages(self) -> Sized:
-        """What is accepted and not over."""
+        """Accepted messages without a final outcome."""
 
     def submit(self, message: StoredMessage, /) -> SubmitResult:
-        """Submits a message, in a batch of its own, and what came of that."""
+        """Submits a message to the policy, in a batch of its own, and returns the policy's decision."""
 
     def client_disconnected(self, message: StoredMessage, /) -> None:
-        """The client of a message left before its response was out."""
+        """Handles a client that disconnected before the response about its message was written."""
 
 
 class AdmissionResult(Struct, frozen=True):
-    """What became of a message, for the response to its client."""
+    """Status and Retry-After of the response to the client of a message."""
 
     status: HTTPStatus
     retry_after: int = 0
-    """Microseconds after which it may be submitted again; 0: not said."""
+    """Microseconds after which the client may submit the message again; 0: no Retry-After."""
 
 
 ACCEPTED = AdmissionResult(HTTPStatus.ACCEPTED)
@@ -50,7 +50,7 @@
 
 
 class Admission:
-    """Decides on each message that comes, and hands those it accepts on."""
+    """Accepts or rejects each submitted message, and passes accepted ones to the receiver."""
 
     def __init__(
         self,
@@ -67,17 +67,18 @@
         self.receiver = receiver
         self.write_ahead_log = write_ahead_log
         self.logger = logger
-        self.log_full = False  # the last message found no space in the write-ahead log
-        self.rejecting_all = False  # after SIGTERM, for good: nothing is accepted any more
+        self.log_full = False  # the write-ahead log had no space for the last message
+        self.rejecting_all = False  # set once, during the shutdown: every message is rejected
 
     def apply_settings(self, settings: PolicySettings, traffic_class_ids: dict[str, int]) -> None:
-        """For messages from now on."""
+        """Applies the settings to messages that are admitted from now on."""
         self.settings = settings
         self.parser.apply_settings(settings, traffic_class_ids)
 
     def admit(self, message: StoredMessage) -> AdmissionResult:
-        """Accepts a message, or rejects it: in a batch of its own, the write-ahead log first. Does not
-        wait."""
+        """Accepts or rejects a message, and returns the result for its response. Does not wait.
+
+        The message is recorded in the write-ahead log before it is submitted in a batch of its own."""
         rejection = self.rejection(message)
         if rejection is not None:
             return rejection
@@ -92,12 +93,12 @@
         return AdmissionResult(DECISION_STATUSES[result.decision], result.retry_after)
 
     def rejection(self, message: StoredMessage) -> AdmissionResult | None:
-        """Why a message is rejected before anything is recorded; none where it is not."""
+        """Returns the rejection of a message that is not to be recorded, or None if it may be accepted."""
         if message.trace_id in self.write_ahead_log.messages.by_trace_id:
-            return DUPLICATE  # guards against a second copy beside the one that is not over
+            return DUPLICATE  # a second copy would be delivered beside the unfinished one
         if len(self.receiver.messages) >= self.settings.queue_capacity > 0:
-            return OVER_CAPACITY  # as the platform rejects what is more than a sender may have
-        if not self.registry.serves(message.destination):  # not listed, though it may be soon
+            return OVER_CAPACITY  # the platform rejects messages beyond the sender's queue capacity
+        if not self.registry.serves(message.destination):  # not listed yet
             retry_after = min(self.settings.max_retry_after, DEFAULT_RETRY_AFTER)
             return AdmissionResult(HTTPStatus.SERVICE_UNAVAILABLE, retry_after)
         return None
--- a/ashpath/server/http/availability.py
+++ b/ashpath/server/http/availability.py
@@ -1,4 +1,4 @@
-"""Whether clients are still wanted: what a shutdown and the operators' lame duck tell every connection."""
+"""State of the shutdown and of the lame duck mode, shared by all client connections."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 
 class Availability(Struct):
-    """Read by every client connection before each response."""
+    """Flags that every client connection reads before each response."""
 
     closing: bool = False
-    """After SIGTERM, for good: not ready, every response ends its connection."""
+    """Set once, on SIGTERM: the sender is not ready, and every response ends its connection."""
     lame_duck: bool = False
-    """Set by operators: not ready, every response ends its connection, and nobody is rejected for it."""
+    """Set by operators: the sender is not ready, every response ends its connection, and requests are still
+    accepted."""
     respond_by: float = float("inf")
-    """On the monotonic clock, in seconds: who is still within a request by then is answered 503."""
+    """Seconds of the monotonic clock; a request that is incomplete at this time is answered 503."""
 
     @property
     def ready(self) -> bool:
-        """Clients may come, and stay."""
+        """Whether clients may connect and keep their connections."""
         return not self.closing and not self.lame_duck
--- a/ashpath/server/http/client_connection.py
+++ b/ashpath/server/http/client_connection.py
@@ -1,6 +1,6 @@
-"""One client's connection: requests read one after the other, each with its response, and the end in order.
+"""One client connection: reads requests one after the other, responds to each, and closes gracefully.
 
-`connection_table.py` has its states and their transitions first.
+The head of `connection_table.py` lists the states of a connection and their transitions.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from ashpath.server.limits import ServerLimits
 from ashpath.server.logs import Logger
 
-# Bound once: an access to an enumeration's member costs as much as the move that it is for.
+# Bound once: the access to an enumeration's member costs as much as the state transition that uses it.
 AWAITING_FIRST_REQUEST = ConnectionState.AWAITING_FIRST_REQUEST
 IDLE = ConnectionState.IDLE
 READING = ConnectionState.READING
@@ -36,7 +36,7 @@
 
 
 class ClientServices(Struct, frozen=True):
-    """What all connections of a listener share: one object, as there may be thousands of them."""
+    """Services shared by all connections of a listener, in one object as there may be thousands of them."""
 
     table: ConnectionTable
     handler: RequestHandler
@@ -46,7 +46,7 @@
 
 
 class ClientConnection:
-    """Serves a connection until either side ends it."""
+    """Serves a client connection until either side ends it."""
 
     __slots__ = ("before_first_request", "connection", "draining", "services")
 
@@ -54,10 +54,10 @@
         self.connection = connection
         self.services = services
         self.before_first_request = True  # no request has been read yet
-        self.draining = False  # what came after this side's end has been read, or is being read
+        self.draining = False  # the input after this side's half-close is being drained, or has been
 
     def serve(self) -> None:
-        """Runs to the end of the connection, whose owner closes it."""
+        """Serves requests until the connection ends. The caller closes the connection."""
         try:
             while not self.connection.unusable and self.exchange():
                 self.before_first_request = False
@@ -70,15 +70,15 @@
             self.half_close_and_drain()
 
     def exchange(self) -> bool:
-        """One request and its response; whether the connection goes on."""
+        """Reads one request and responds to it; returns whether the connection is kept."""
         waiting_since = self.await_bytes()
         if not len(self.connection.buffer) or self.connection.unusable:
-            return False  # closed, or silent for too long, or drained: what came after that is not read
+            return False  # closed by the client, idle for too long, or half-closed by this side
         self.services.table.enter(self.connection, READING)
         try:
             request = self.read_request(waiting_since)
         except ConnectionResetError:
-            if self.connection.eof_received:  # within a request, by a client that may still read
+            if self.connection.eof_received:  # the client half-closed within a request, and may still read
                 self.write(encode_response(400, keep_alive=False))
             return False
         except ProtocolError as error:
@@ -87,7 +87,9 @@
         return self.respond(request)
 
     def await_bytes(self) -> float:
-        """Waits for a request to begin, for so long as a client may be silent; when the wait began."""
+        """Waits for the first bytes of a request, for at most the time that a client may be idle.
+
+        Returns the start of the wait, in seconds of the monotonic clock."""
         connection = self.connection
         state = AWAITING_FIRST_REQUEST if self.before_first_request else IDLE
         since = self.services.table.enter(connection, state)
@@ -102,12 +104,14 @@
         ):
             connection.receive()
         if not len(connection.buffer) and connection.peek_byte():
-            connection.receive()  # it came as the time ended: closing on it would leave it unread
+            connection.receive()  # bytes arrived as the time ended: a close would leave them unread
         return since
 
     def read_request(self, waiting_since: float) -> HttpRequest:
-        """The request, whole and in time. Raises ProtocolError, ConnectionClosedError, OSError."""
-        # A first request counts from the connection's start: guards against bytes that drip.
+        """Returns the next request once it is complete.
+
+        Raises ProtocolError if the request is invalid or late, ConnectionClosedError and OSError."""
+        # The time of a first request counts from the accept: limits clients that send byte by byte.
         time_left = self.services.limits.request_s - (
             monotonic() - waiting_since if self.before_first_request else 0.0
         )
@@ -118,13 +122,13 @@
                 if len(self.connection.buffer) or self.connection.peek_byte():
                     raise TrailingBytesError
         except Timeout as timeout:
-            if monotonic() >= self.services.availability.respond_by:  # its client goes to another process
+            if monotonic() >= self.services.availability.respond_by:  # the client retries at another process
                 raise ShutdownDuringRequestError from timeout
             raise RequestTimeoutError from timeout
         return request
 
     def respond(self, request: HttpRequest) -> bool:
-        """Handles a request and writes its response; whether the connection goes on."""
+        """Handles a request and writes its response; returns whether the connection is kept."""
         keep_alive = request.keep_alive and not self.connection.unusable and self.services.availability.ready
         self.services.table.enter(self.connection, RESPONDING)
         reply = self.services.handler.handle(request, self.connection)
@@ -136,13 +140,15 @@
         return keep_alive
 
     def reject(self, status: int) -> None:
-        """A response, then the rest is read: closing on unread bytes would take the response back."""
+        """Writes an error response, half-closes the connection and drains its input.
+
+        A close with unread bytes would reset the connection, and the client could lose the response."""
         self.services.table.enter(self.connection, REJECTING)
         if self.write(encode_response(status, keep_alive=False)):
             self.half_close_and_drain()
 
     def write(self, data: bytes) -> bool:
-        """False: the client had left, or did not take its response in time."""
+        """Writes bytes; returns False if the client has left or does not read them in time."""
         try:
             with Timeout(self.services.limits.response_write_s):
                 self.connection.write(data)
@@ -152,8 +158,11 @@
         return True
 
     def half_close_and_drain(self) -> None:
-        """Ends a connection from this side. Guards a response just written, and a request that crosses the
-        end: its client finds no response to it, on a connection that ended in order, and asks elsewhere."""
+        """Half-closes the connection and drains its input.
+
+        A close with unread bytes would reset the connection: the client could lose the response just written.
+        A client whose request crosses the half-close reads an orderly end without a response, and sends the
+        request to another sender."""
         if self.connection.eof_received or self.draining:
             return
         self.draining = True
--- a/ashpath/server/http/connection.py
+++ b/ashpath/server/http/connection.py
@@ -1,29 +1,29 @@
-"""HTTP/1.1 on one connection, of either side: httptools parses, this frames.
+"""HTTP/1.1 on one connection, as server or client: httptools parses, and this module frames the messages.
 
-Not a byte beyond a message is consumed, and one message is read at a time. As a server:
+No byte beyond a message is consumed, and one message is read at a time. As a server:
 
 | state | event | next |
 | --- | --- | --- |
-| ready | `read_request` returns: one whole request consumed | ready; the caller writes the response |
-| ready | ProtocolError, a failure of the socket, or the end | to be closed by the caller |
+| ready | `read_request` returns: one complete request consumed | ready; the caller writes the response |
+| ready | ProtocolError, a failure of the socket, or its end | to be closed by the caller |
 
-As a client, `unusable` and `status_line_read` say where it stands:
+As a client, `unusable` and `status_line_read` give the state:
 
 | state | event | next |
 | --- | --- | --- |
 | ready | request written, `read_response` called | awaiting: unusable, status line not read |
 | awaiting | a status line, not consumed | reading: unusable, status line read |
 | reading | a status below 200, with its head | awaiting |
-| reading | any other status, sound to its end, which is known | ready |
-| reading | 200 and a sound head, end known | body pending: `finish_response` is due |
-| reading | 200, and then a head that cannot be read, the end or a time-out | unusable for good |
-| reading | any response that ends with its connection | unusable for good |
-| reading | any other status, and a fault in the rest | unusable for good; raises |
+| reading | any other status, valid to its end, whose position is known | ready |
+| reading | 200 and a valid head, end of the body known | body pending: `finish_response` is to be called |
+| reading | 200, and then an invalid head, the end of the connection or a time-out | permanently unusable |
+| reading | any response that ends with its connection | permanently unusable |
+| reading | any other status, and a fault in the rest | permanently unusable; raises |
 | body pending | `finish_response` returns | ready |
-| any | given up | `late_success` asks for a 200 that is here; unusable for good |
+| any | the caller gives up | `late_success` looks for a received 200; permanently unusable |
 
-`unusable` for good means that the caller closes it. The body of a 200 is read apart from its head, since its
-first line alone says that the call was delivered, whatever follows.
+The caller closes a permanently unusable connection. The body of a 200 is read apart from its head, since the
+status line alone confirms the delivery, whatever follows.
 """
 
 from __future__ import annotations
@@ -74,12 +74,12 @@
 
 
 def open_connection(address: tuple[str, int], limits: ServerLimits) -> HttpConnection:
-    """A new connection; a failure or a time-out on the way leaves nothing open. Raises OSError."""
+    """Returns a new connection. Raises OSError on a failure or time-out, and leaves no socket open."""
     return dial(socket.socket(socket.AF_INET, socket.SOCK_STREAM), address, limits)
 
 
 def dial(sock: socket.socket, address: tuple[str, int], limits: ServerLimits) -> HttpConnection:
-    """The same on a socket of the caller's, who may close it to end a dial that is still on its way."""
+    """Connects the caller's socket like `open_connection`; the caller may close it to abort the connect."""
     try:
         sock.settimeout(limits.connect_s)
         sock.connect(address)
@@ -91,7 +91,7 @@
 
 
 class HttpConnection(BufferedSocket):
-    """A connection, and the message that is being read from it."""
+    """An HTTP connection, and the state of the message that is being read from it."""
 
     pending_body: PendingBody
 
@@ -99,10 +99,10 @@
         super().__init__(sock, ReceiveBuffer(limits.buffer_bytes, limits.body_bytes))
         self.limits = limits
         self.status_line_read = False  # of the response that is being read
-        self.idle_before_use_s = 0.0  # seconds that it was idle before its present call; 0 if it is new
+        self.idle_before_use_s = 0.0  # seconds idle in the pool before the current call; 0 if new
 
     def read_request(self) -> HttpRequest:
-        """The next request, whole. Raises ProtocolError, ConnectionClosedError, OSError."""
+        """Returns the next request with its body. Raises ProtocolError, ConnectionClosedError, OSError."""
         request = HttpRequest()
         parser = httptools.HttpRequestParser(request)
         self._read_head(request, parser, "request")
@@ -110,7 +110,7 @@
         request.keep_alive = request.wants_keep_alive(parser)
         framing = body_framing(request, self.limits.body_bytes)
         if framing is None:
-            self.unusable = True  # where it ends is not known, so nothing may follow
+            self.unusable = True  # the end of the body is unknown, so no further message can be read
             raise UnknownLengthError
         if isinstance(framing, int) and framing > self.limits.body_bytes:
             raise BodyTooLongError
@@ -120,11 +120,11 @@
         return request
 
     def read_response(self) -> HttpResponse:
-        """Of a 200 the head, as its first line says how a call ended, whatever follows; of others the whole,
-        as only one that is sound from end to end proves anything.
+        """Returns the final response: a 200 without its body, any other status with its body.
 
-        Raises ProtocolError, ConnectionClosedError, OSError; for a 200 none of them once its first line is
-        read, and what else is thrown from then on is dropped for it.
+        The status line of a 200 alone decides the call's outcome. Any other response counts only if it is
+        valid to its end. Raises ProtocolError, ConnectionClosedError, OSError. Once the status line of a 200
+        is read, no exception is raised, and a time-out or cancellation is suppressed too.
         """
         for _ in range(self.limits.interim_responses):
             response = self._read_one_response()
@@ -140,16 +140,16 @@
         response.status = self._read_status()
         self.status_line_read = True
         try:
-            # Guards the call's place against a far end that holds back, or never ends, what it has begun.
+            # Limits how long a peer that stalls within its response, or never ends it, occupies the call.
             with Timeout(self.limits.response_rest_s, IncompleteResponseError()):
-                self._read_head(response, parser, "answer")
+                self._read_head(response, parser, "response")
                 if response.is_interim:
                     return response
                 framing = 0 if response.complete else body_framing(response, self.limits.body_bytes)
                 self.pending_body = PendingBody(response, parser, framing)
                 if response.status != OK:
                     self.finish_response()
-        except (Exception, Timeout):  # cancelled or out of time, too: a 200 that is here counts
+        except (Exception, Timeout):  # a received 200 counts even if the call is cancelled or timed out
             if response.status != OK:
                 raise
             return response
@@ -159,8 +159,9 @@
         return response
 
     def late_success(self) -> HttpResponse | None:
-        """Of a response that is given up on: a 200, if its first line is here by now. Does not wait, and does
-        not look for one in the body of another response."""
+        """Returns a 200 whose status line has arrived by now, else None; the caller gives up on the response.
+
+        Does not wait, and does not search the body of another response."""
         response = HttpResponse()
         self.unusable = True
         with suppress(OSError, ConnectionClosedError, ProtocolError):
@@ -169,15 +170,15 @@
         return response if response.status == OK else None
 
     def body_received(self) -> bool:
-        """Whether `finish_response` would return without waiting."""
+        """Returns whether `finish_response` would return without waiting."""
         pending = self.pending_body
-        with suppress(ProtocolError):  # raised where it is read
+        with suppress(ProtocolError):  # `finish_response` raises it
             end = known_end(pending.framing, self.buffer)
             return pending.response.complete or (end is not None and len(self.buffer) >= end)
         return False
 
     def finish_response(self) -> HttpResponse:
-        """Reads the body that `read_response` left. Raises ProtocolError, OSError."""
+        """Reads the body of the 200 that `read_response` returned. Raises ProtocolError, OSError."""
         pending = self.pending_body
         if isinstance(pending.framing, int) and pending.framing > self.limits.body_bytes:
             raise ResponseTooLongError
@@ -185,11 +186,11 @@
         return pending.response
 
     def _is_bounded(self, framing: BodyFraming) -> bool:
-        """Whether the far end said where the response ends, within bounds, so that another may follow."""
+        """Whether the end of the response is known and within limits, so that another response may follow."""
         return framing <= self.limits.body_bytes if isinstance(framing, int) else framing is not None
 
     def _read_status(self) -> int:
-        """Of a first line that reads as one of HTTP; nothing is consumed."""
+        """Returns the status code of a valid status line, and consumes nothing. Raises ProtocolError."""
         searched = 0
         while (end := self.buffer.find(b"\n", searched)) < 0:
             searched = len(self.buffer)
@@ -226,7 +227,8 @@
         self.buffer.consume(fed)
 
     def _read_body(self, message: HttpMessage, parser: Parser, framing: BodyFraming) -> None:
-        """A body whose end is known is fed in one piece, one up to the end of the connection as it comes."""
+        """Feeds a body with a known end to the parser in one piece; one that ends with the connection, as
+        received. Raises ProtocolError, OSError."""
         size = 0
         while not message.complete:
             available = len(self.buffer)
@@ -241,11 +243,11 @@
             elif not self.receive():
                 if framing is not None or b"transfer-encoding" in message.headers:
                     raise TruncatedBodyError
-                message.complete = True  # a response that gave no length ends with its connection
+                message.complete = True  # a response without a length ends with its connection
 
 
 def feed(parser: Parser, data: bytes) -> None:
-    """Hands the parser more of a message. Raises ProtocolError."""
+    """Feeds the parser the next bytes of a message. Raises ProtocolError."""
     try:
         parser.feed_data(data)
     except httptools.HttpParserUpgrade as error:
--- a/ashpath/server/http/encoding.py
+++ b/ashpath/server/http/encoding.py
@@ -1,4 +1,4 @@
-"""Messages as bytes."""
+"""Encodes HTTP messages."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def host_header(address: tuple[str, int]) -> Header:
-    """The header that names the far end.
+    """Returns the Host header for an address.
 
     >>> host_header(("10.1.0.18", 7070))
     (b'host', b'10.1.0.18:7070')
@@ -33,7 +33,7 @@
 
 
 def encode_message(first_line: bytes, headers: Sequence[Header], body: bytes) -> bytes:
-    """A whole message, its length told by a header of its own.
+    """Returns an encoded message, with a Content-Length header for its body.
 
     >>> encode_message(b"POST /hook HTTP/1.1", [(b"host", b"x")], b"ab")
     b'POST /hook HTTP/1.1\\r\\nhost: x\\r\\ncontent-length: 2\\r\\n\\r\\nab'
@@ -46,7 +46,7 @@
 def encode_response(
     status: int, *, keep_alive: bool = True, retry_after: int = 0, body: bytes = b""
 ) -> bytes:
-    """A response to a client; `retry_after` in microseconds, 0 for none.
+    """Returns an encoded response; `retry_after` is in microseconds, 0 for none.
 
     >>> encode_response(503, keep_alive=False, retry_after=1_500_000).splitlines()[:3]
     [b'HTTP/1.1 503 Service Unavailable', b'connection: close', b'retry-after: 1.500']
--- a/ashpath/server/http/errors.py
+++ b/ashpath/server/http/errors.py
@@ -1,8 +1,9 @@
-"""What can be wrong with a message or its connection: a type for each cause.
+"""Errors of HTTP messages and their connections, one type for each cause.
 
-`ProtocolError` and its types mean that bytes came which are not HTTP as this side takes it; `status` is what
-a server answers to them. `ConnectionClosedError` means that none came. A connection that fails or ends within
-a message raises an OSError; that of its end, `TruncatedMessageError`, is a reset as the socket's own.
+`ProtocolError` and its subclasses report received bytes that are not valid or not accepted HTTP; `status` is
+the status that a server responds with. `ConnectionClosedError` reports an end before the first byte. A
+connection that fails or ends within a message raises an OSError; for the end it is `TruncatedMessageError`, a
+ConnectionResetError like that of the socket.
 """
 
 from __future__ import annotations
@@ -11,207 +12,211 @@
 
 
 class ProtocolError(Exception):
-    """What came in is not HTTP as this side takes it."""
+    """The received bytes are not valid or not accepted HTTP."""
 
     status: int = HTTPStatus.BAD_REQUEST
-    """The status of the response to it, where it was a request."""
-    message = "not HTTP as it is taken here"
+    """The status of the response to an invalid request."""
+    message = "invalid HTTP message"
 
     def __init__(self, message: str = "") -> None:
         super().__init__(message or self.message)
 
 
 class ParserError(ProtocolError):
-    """The parser refused it; the message is the parser's."""
+    """The parser rejected the message; the text is the parser's."""
 
 
 class UpgradeError(ProtocolError):
-    """Another protocol was asked for on this connection."""
+    """The peer requested a switch to another protocol."""
 
-    message = "no upgrades here"
+    message = "protocol upgrade not supported"
 
 
 class StatusLineError(ProtocolError):
-    """The first line of a response is no status line."""
+    """The first line of a response is not a status line."""
 
-    message = "no status line"
+    message = "invalid status line"
 
 
 class HeadError(ProtocolError):
-    """A head that ends where none may end, or that is too long once it has ended."""
+    """A head ends at an invalid place, or is complete and too long."""
 
     def __init__(self, kind: str) -> None:
-        super().__init__(f"{kind} without a proper head")
+        super().__init__(f"{kind} head invalid or too long")
 
 
 class AmbiguousLengthError(ProtocolError):
-    """The length of a body is given twice (RFC 9112, 6.3)."""
+    """The length of a body is given twice (RFC 9112, 6.3).
 
-    message = "two lengths: who believes the other finds another message in the body"
+    A recipient that uses the other length would find another message in the body."""
+
+    message = "body length given twice"
 
 
 class InvalidLengthError(ProtocolError):
-    """Content-Length is no number."""
+    """Content-Length is not a number, or has too many digits."""
 
-    message = "a length that is no number"
+    message = "invalid Content-Length"
 
 
 class UnknownLengthError(ProtocolError):
-    """The end of a request's body is not known."""
+    """The end of a request's body is unknown."""
 
-    message = "an end that is not known"
+    message = "end of the request body unknown"
 
 
 class BodyEndError(ProtocolError):
-    """A body is over before or behind the end that its head gave."""
+    """A body does not end at the position that its head gives."""
 
-    message = "a body that does not end where it should"
+    message = "body does not end where its head says"
 
 
 class ChunkSizeError(ProtocolError):
-    """A chunk begins with no size."""
+    """A chunk does not begin with a valid size."""
 
-    message = "a chunk without a proper size"
+    message = "chunk without a valid size"
 
 
 class ChunkEndError(ProtocolError):
-    """A chunk does not end where its size says."""
+    """A chunk does not end at the position that its size gives."""
 
-    message = "a chunk longer than its size"
+    message = "chunk longer than its size"
 
 
 class ChunkLineError(ProtocolError):
-    """A line between chunks has no end."""
+    """A line between chunks does not end within the limit."""
 
-    message = "a line of chunks without end"
+    message = "chunk line without an end"
 
 
 class TrailingBytesError(ProtocolError):
-    """Bytes follow a request before its response is out."""
+    """Bytes follow a request before its response is written.
+
+    The length of the request is wrong, or the client does not wait for the response."""
 
-    message = "more than a request: its length is wrong, or no answer awaited"
+    message = "bytes after the request: wrong length, or a client that does not wait for the response"
 
 
 class InvalidRequestError(ProtocolError):
-    """Headers of a request to deliver are missing, repeated or not as they should be."""
+    """Headers of a request that submits a message are missing, repeated or invalid."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(f"not an envelope: {reason}")
+        super().__init__(f"invalid request: {reason}")
 
 
 class RepeatedHeaderError(InvalidRequestError):
-    """A header of a request to deliver came more than once."""
+    """A header of a request that submits a message is repeated."""
 
     def __init__(self) -> None:
-        super().__init__("told twice")
+        super().__init__("header repeated")
 
 
 class InvalidNumberError(ValueError):
-    """A field that is no whole number in plain digits."""
+    """A field is not a whole number in plain digits, or has too many digits."""
 
     def __init__(self, text: bytes) -> None:
-        super().__init__(f"{text!r} is no whole number")
+        super().__init__(f"{text!r} is not a whole number")
 
 
 class InvalidTokenError(ValueError):
-    """A field that is empty, too long, or not printable."""
+    """A field is empty, too long, or not printable ASCII."""
 
     def __init__(self) -> None:
-        super().__init__("not a printable word")
+        super().__init__("not a printable ASCII token")
 
 
 class TooManyInterimResponsesError(ProtocolError):
-    """Only responses with a status below 200 came."""
+    """Only responses with a status below 200 were received, up to the limit."""
 
-    message = "interim answers without end"
+    message = "too many interim responses"
 
 
 class UnreadableResponseError(ProtocolError):
-    """A response with status 200 whose rest cannot be read."""
+    """The rest of a response with status 200 cannot be read."""
 
-    message = "an answer that cannot be read"
+    message = "unreadable response"
 
 
 class RequestTimeoutError(ProtocolError):
-    """A request was not whole in time."""
+    """A request was incomplete at its time limit."""
 
     status = HTTPStatus.REQUEST_TIMEOUT
-    message = "a request without an end"
+    message = "request incomplete at its time limit"
 
 
 class ShutdownDuringRequestError(ProtocolError):
-    """A request was not whole as the shutdown stopped waiting for it."""
+    """A request was incomplete when the shutdown stopped waiting for it."""
 
     status = HTTPStatus.SERVICE_UNAVAILABLE
-    message = "a request that was not whole before the end"
+    message = "request incomplete when the shutdown stopped waiting"
 
 
 class IncompleteResponseError(ProtocolError):
-    """A response did not end in time after its first line."""
+    """A response was incomplete at its time limit, which begins after the status line."""
 
     status = HTTPStatus.REQUEST_TIMEOUT
-    message = "an answer without an end"
+    message = "response incomplete at its time limit"
 
 
 class BodyTooLongError(ProtocolError):
-    """A body is over the bound."""
+    """A body exceeds its size limit."""
 
     status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
     message = "body too long"
 
 
 class ResponseTooLongError(BodyTooLongError):
-    """The length that a response gives is over the bound."""
+    """The length that a response declares exceeds the size limit."""
 
-    message = "an answer too long"
+    message = "response body too long"
 
 
 class ChunkOverheadError(BodyTooLongError):
-    """The lines between chunks, or all of a body with them, are over the bound."""
+    """A line between chunks, or a body with its chunk framing, exceeds its size limit."""
 
-    message = "chunks with too much beside them"
+    message = "chunk framing too long"
 
 
 class HeadTooLongError(ProtocolError):
-    """A head is over the bound."""
+    """A head exceeds its size limit."""
 
     status = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
 
     def __init__(self, kind: str) -> None:
-        super().__init__(f"{kind} with a head too long")
+        super().__init__(f"{kind} head too long")
 
 
 class StatusLineTooLongError(ProtocolError):
-    """The first line of a response is over the bound of a head."""
+    """The first line of a response exceeds the size limit of a head."""
 
     status = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-    message = "a first line without end"
+    message = "status line too long"
 
 
 class TruncatedMessageError(ConnectionResetError):
-    """The far end closed within a message."""
+    """The peer closed the connection within a message."""
 
 
 class TruncatedStatusLineError(TruncatedMessageError):
-    """The far end closed within the first line of a response."""
+    """The peer closed the connection within the status line of a response."""
 
     def __init__(self) -> None:
-        super().__init__("ended within the first line")
+        super().__init__("connection closed within the status line")
 
 
 class TruncatedHeadError(TruncatedMessageError):
-    """The far end closed within a head."""
+    """The peer closed the connection within a head."""
 
     def __init__(self, kind: str) -> None:
-        super().__init__(f"ended within the head of the {kind}")
+        super().__init__(f"connection closed within the {kind} head")
 
 
 class TruncatedBodyError(TruncatedMessageError):
-    """The far end closed within a body."""
+    """The peer closed the connection within a body."""
 
     def __init__(self) -> None:
-        super().__init__("ended within a body")
+        super().__init__("connection closed within a body")
 
 
 class ConnectionClosedError(Exception):
-    """The far end closed before the first byte of a message."""
+    """The peer closed the connection before the first byte of a message."""
--- a/ashpath/server/http/framing.py
+++ b/ashpath/server/http/framing.py
@@ -1,6 +1,6 @@
-"""Where the body of a message ends (RFC 9112, 6 and 7.1).
+"""Finds the end of a message's body (RFC 9112, 6 and 7.1).
 
-The parser is fed a body only once its end is in the buffer, so that not a byte beyond a message is consumed.
+The parser is fed a body only once its end is in the buffer, so that no byte beyond a message is consumed.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 LENGTH_HEADERS = {b"content-length", b"transfer-encoding"}
 MAX_CONTENT_LENGTH_DIGITS = 15
 CHUNK_SIZE_LINE = re.compile(rb"([0-9a-fA-F]{1,8})[ \t]*(;[^\x00-\x08\x0a-\x1f]*)?")
-MAX_CHUNK_LINE_BYTES = 1024  # a chunk's size with its extensions, or a line behind the last chunk
+MAX_CHUNK_LINE_BYTES = 1024  # of a chunk's size with its extensions, or of a trailer line
 LINE_END = b"\r\n"
 
 
 class ChunkedFraming:
-    """Finds where a chunked body ends as it comes; nothing is consumed, so not a byte beyond it is either.
+    """Finds the end of a chunked body as it arrives, and consumes nothing.
 
-    A body with its framing may be twice as long as a body without.
+    A body with its chunk framing may be twice as long as a body without.
 
     >>> buffer, framing = ReceiveBuffer(64, 64), ChunkedFraming(64)
     >>> def received(data):
@@ -43,11 +43,13 @@
 
     def __init__(self, max_body_bytes: int) -> None:
         self.max_bytes = 2 * max_body_bytes
-        self.position = 0  # of the first line that is not read yet
-        self.in_trailer = False  # the last chunk has been read
+        self.position = 0  # of the first line that is not checked yet
+        self.in_trailer = False  # the last chunk has been found
 
     def end(self, buffer: ReceiveBuffer) -> int | None:
-        """The bytes up to its end; none while that is not in the buffer. Raises ProtocolError."""
+        """Returns the body's length with its framing in bytes, or None until its end is in the buffer.
+
+        Raises ProtocolError."""
         while (line_end := buffer.find(LINE_END, self.position)) >= 0:
             line = buffer.peek(self.position, line_end)
             next_line = line_end + len(LINE_END)
@@ -71,7 +73,7 @@
         return None
 
     def chunk_size(self, line: bytes) -> int:
-        """Bytes of the chunk behind this line. Raises ProtocolError."""
+        """Returns the size in bytes of the chunk after this line. Raises ProtocolError."""
         match = CHUNK_SIZE_LINE.fullmatch(line)
         if match is None:
             raise ChunkSizeError
@@ -82,11 +84,11 @@
 
 
 BodyFraming = int | ChunkedFraming | None
-"""A length in bytes, chunks, or all up to the end of the connection."""
+"""A length in bytes, chunks, or None for a body that ends with the connection."""
 
 
 def body_framing(message: HttpMessage, max_body_bytes: int) -> BodyFraming:
-    """How the body of a message whose head is read is framed. Raises ProtocolError."""
+    """Returns the framing of the body of a message whose head is complete. Raises ProtocolError."""
     headers = message.headers
     if message.repeated_headers & LENGTH_HEADERS or headers.keys() >= LENGTH_HEADERS:
         raise AmbiguousLengthError
@@ -102,5 +104,5 @@
 
 
 def known_end(framing: BodyFraming, buffer: ReceiveBuffer) -> int | None:
-    """The bytes that a body at the begin of the buffer has, as far as that is known by now."""
+    """Returns the length in bytes of the body at the start of the buffer, or None while it is unknown."""
     return framing.end(buffer) if isinstance(framing, ChunkedFraming) else framing
--- a/ashpath/server/http/listener.py
+++ b/ashpath/server/http/listener.py
@@ -1,4 +1,4 @@
-"""The address that clients meet: accepts their connections within a bound, and drains them at the end."""
+"""Listener at the sender's address: accepts client connections up to a limit, and drains them at the end."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from ashpath.server.local_errors import is_closed
 from ashpath.server.logs import Logger
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPT_RETRY_S = 0.01
-EVICTION_RETRY_S = 0.05
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+ACCEPT_RETRY_S = 0.01  # after a failed accept
+EVICTION_RETRY_S = 0.05  # while no connection can be evicted
 
 
 class ClientListener:
-    """Accepts connections of clients, each of which a greenlet of its own serves.
+    """Accepts client connections, and serves each in a greenlet of its own.
 
-    At `limits.client_connections` no further one is accepted until one closes or is evicted.
+    At `limits.client_connections`, the next connection is accepted once one closes or is evicted.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         self.services = ClientServices(self.table, self.handler, self.availability, limits, logger)
         self.connection_count = 0
         self.connection_closed = Event()
-        self.inherited = False  # the listening socket is the platform's: another process may accept on it
+        self.inherited = False  # the platform passed the listening socket: another process may accept on it
         self.accepting = False
         self.listening = False
 
     def listen(self, inherited: int | None = None) -> None:
-        """On the descriptor that the platform hands down if there is one: it is never bound a second time.
-        Raises OSError."""
+        """Listens on `inherited`, the descriptor of a socket that the platform has bound, without a second
+        bind, or on a new socket at the configured address. Raises OSError."""
         if inherited is not None:
             self.socket = socket.socket(fileno=inherited)
             self.inherited = True
@@ -65,36 +65,37 @@
         self.listening = True
 
     def run(self) -> None:
-        """Accepts until `stop`."""
+        """Accepts connections until `stop` is called."""
         self.accepting = True
         while self.accepting:
             try:
                 connection = HttpConnection(self.socket.accept()[0], self.limits)
-            except OSError as error:  # out of descriptors, or a client that left again
+            except OSError as error:  # no descriptor free, or the client has left
                 if is_closed(error) and self.accepting:
                     self.listen_again(error)
                 gevent.sleep(ACCEPT_RETRY_S)
                 continue
             self.connection_count += 1
             gevent.spawn(self.serve, connection)
-            gevent.sleep(0)  # guards the rest against clients that connect without end
+            gevent.sleep(0)  # other greenlets run even while clients connect continuously
             while self.connection_count >= self.limits.client_connections:
                 self.connection_closed.clear()
                 if not self.table.evict_one():
                     self.connection_closed.wait(EVICTION_RETRY_S)
 
     def listen_again(self, error: OSError) -> None:
-        """The listening socket will accept nothing any more: without another the process would serve nobody.
-        One that the platform handed down cannot be had again."""
+        """Logs the loss of the listening socket, which can accept no further connection, and replaces it.
+
+        Without a new socket the process would serve no client. An inherited socket cannot be replaced."""
         self.services.logger.error("listening socket lost", error=str(error), inherited=self.inherited)
         if not self.inherited:
             with suppress(OSError):
                 self.socket.close()
-            with suppress(OSError):  # it is tried again with the next accept
+            with suppress(OSError):  # the next failed accept retries
                 self.listen()
 
     def serve(self, connection: HttpConnection) -> None:
-        """Serves a connection, which counts already, to its end."""
+        """Serves a connection until it ends; `connection_count` includes it already."""
         try:
             ClientConnection(connection, self.services).serve()
         finally:
@@ -104,42 +105,45 @@
             self.connection_closed.set()
 
     def stop(self) -> None:
-        """Accepts no more connections: those still queued are for the process that shares the socket."""
+        """Stops accepting; the process that shares the socket accepts the connections still queued."""
         self.accepting = False
         with suppress(OSError):
             self.socket.close()
 
     def begin_shutdown(self, respond_by: float) -> None:
-        """From now on every response ends its connection; who is still within a request at `respond_by`
-        (seconds of the monotonic clock) is answered 503."""
+        """From now on every response ends its connection; a request that is incomplete at `respond_by`, in
+        seconds of the monotonic clock, is answered 503."""
         self.availability.closing = True
         self.availability.respond_by = respond_by
 
     def set_lame_duck(self, *, enabled: bool) -> None:
-        """Drains clients, each with its next response or, where it asks for none, after a while; or takes
-        them back."""
+        """Enables or disables the lame duck mode.
+
+        Once enabled, a connection ends with its next response, or after `drain_clients_s` if it is idle."""
         self.availability.lame_duck = enabled
         if enabled:
             gevent.spawn(self.drain_clients, self.limits.drain_clients_s)
 
     def drain_clients(self, grace_s: float) -> None:
-        """Whoever asks within the grace has a response that ends its connection; idle ones are closed after
-        it. One before its first request is not idle: it has its time."""
+        """Half-closes idle connections after a grace period, in seconds, unless the sender is ready again.
+
+        A request within the grace period gets a response that ends its connection. A connection that awaits
+        its first request is not idle, and keeps its own time limit."""
         gevent.sleep(grace_s)
         if not self.availability.ready:
             self.table.half_close_idle(ConnectionState.IDLE)
 
     def close_idle(self) -> None:
-        """Ends connections that are between requests, and those before their first one."""
+        """Half-closes connections that await their first or their next request."""
         self.table.half_close_idle(ConnectionState.AWAITING_FIRST_REQUEST, ConnectionState.IDLE)
 
     def close_all(self) -> None:
-        """Ends what is left, as the process does; does not wait."""
+        """Half-closes and drains the remaining connections as the process ends. Does not wait."""
         self.table.drain_all()
 
     @property
     def closing(self) -> bool:
-        """A shutdown has begun."""
+        """Whether the shutdown has begun."""
         return self.availability.closing
 
     def has_connections(self) -> bool:
@@ -147,5 +151,5 @@
         return self.connection_count > 0
 
     def has_open_requests(self) -> bool:
-        """Whether a client is within a request, or waits for its response."""
+        """Whether a request is being read or responded to."""
         return self.table.count(ConnectionState.READING, ConnectionState.RESPONDING) > 0
--- a/ashpath/server/http/messages.py
+++ b/ashpath/server/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses, filled in by httptools' parser, which calls the `on_` methods."""
+"""HTTP requests and responses; httptools' parser fills them in through the `on_` methods."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import httptools
 
-# Bound once: an access to an enumeration's member costs more than all else that is done with it here.
+# Bound once: the access to an enumeration's member costs more than the comparisons that use it.
 CONTINUE = HTTPStatus.CONTINUE.value
 OK = HTTPStatus.OK.value
 
@@ -14,22 +14,22 @@
 
 
 class HttpMessage:
-    """What a request and a response have in common.
+    """Common base of requests and responses.
 
-    What follows the message in the same bytes, and headers behind a body, must not pass for its own: nothing
-    is taken from the parser once the message is complete, and no header once its head is.
+    Bytes after the message, and headers after its body, must not be attributed to it: no data is taken from
+    the parser once the message is complete, and no header once the head is complete.
     """
 
     def __init__(self) -> None:
-        self.headers: dict[bytes, bytes] = {}  # by name in lower case; of a repeated one the last
-        self.repeated_headers: set[bytes] = set()  # names that came more than once
+        self.headers: dict[bytes, bytes] = {}  # by name in lower case; the last value of a repeated header
+        self.repeated_headers: set[bytes] = set()  # names of headers that occur more than once
         self.body_parts: list[bytes] = []
         self.head_complete = False
         self.complete = False
-        self.keep_alive = False  # the sender of the message lets its connection carry another
+        self.keep_alive = False  # the peer allows another message on the connection
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header, as it came."""
+        """Stores one header, with its name in lower case."""
         if not self.head_complete:
             name = name.lower()
             if name in self.headers:
@@ -37,31 +37,31 @@
             self.headers[name] = value.strip()
 
     def on_headers_complete(self) -> None:
-        """The head is over."""
+        """Marks the head as complete."""
         self.head_complete = True
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body, without the framing of chunks."""
+        """Stores a part of the body, without chunk framing."""
         if not self.complete:
             self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """The message is over."""
+        """Marks the message as complete."""
         self.complete = True
 
     @property
     def body(self) -> bytes:
-        """What of the body has been read."""
+        """The part of the body that has been read."""
         return b"".join(self.body_parts)
 
     def wants_keep_alive(self, parser: Parser) -> bool:
-        """Whether its sender keeps the connection. The parser's own answer changes once it is complete."""
+        """Whether the peer keeps the connection; the parser's own value changes once the message ends."""
         options = self.headers.get(b"connection", b"").lower().replace(b" ", b"").split(b",")
         return b"close" not in options and (parser.get_http_version() == "1.1" or b"keep-alive" in options)
 
 
 class HttpRequest(HttpMessage):
-    """A request."""
+    """An HTTP request."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,25 +69,25 @@
         self.url = b""
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
+        """Appends a part of the request target."""
         if not self.complete:
             self.url += url
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """The request target without its query."""
         return self.url.split(b"?", 1)[0]
 
 
 class HttpResponse(HttpMessage):
-    """A response."""
+    """An HTTP response."""
 
     def __init__(self) -> None:
         super().__init__()
         self.status = 0
-        self.well_formed = False  # all that was read of it is as it should be
+        self.well_formed = False  # the parts read so far are valid
 
     @property
     def is_interim(self) -> bool:
-        """The response that counts follows (RFC 9110, 15.2)."""
+        """Whether the final response is still to follow (RFC 9110, 15.2)."""
         return CONTINUE <= self.status < OK
--- a/ashpath/server/http/receive_buffer.py
+++ b/ashpath/server/http/receive_buffer.py
@@ -1,10 +1,10 @@
-"""The one receive buffer of a connection: grown as needed, compacted in place."""
+"""Receive buffer of a connection: grows as needed, and is compacted in place."""
 
 from __future__ import annotations
 
 
 class ReceiveBuffer:
-    """Bytes that were received and are not consumed yet.
+    """Received bytes that are not consumed yet.
 
     The buffer doubles from `initial_size` up to `doubling_limit`, and grows in steps of `initial_size` above
     that; once it is empty, it shrinks to `initial_size`. Positions count from the first unconsumed byte.
@@ -25,14 +25,16 @@
         self.initial_size = initial_size
         self.doubling_limit = doubling_limit
         self.data = bytearray(initial_size)
-        self.begin = 0  # of what is not consumed, within `data`
-        self.end = 0
+        self.begin = 0  # index in `data` of the first unconsumed byte
+        self.end = 0  # index in `data` after the last received byte
 
     def __len__(self) -> int:
         return self.end - self.begin
 
     def free_space(self, at_least: int = 1) -> memoryview:
-        """Free space at the end, for a read; to be released before anything else is done here."""
+        """Returns the free space at the end, for a read of at least `at_least` bytes.
+
+        The caller releases the view before any other call."""
         if len(self.data) - self.end < at_least and self.begin:
             self.data[: len(self)] = self.data[self.begin : self.end]
             self.end = len(self)
@@ -43,23 +45,23 @@
         return memoryview(self.data)[self.end :]
 
     def commit(self, count: int) -> None:
-        """So many bytes have been written to the free space."""
+        """Appends `count` bytes, which the caller has written to the free space."""
         self.end += count
 
     def find(self, pattern: bytes, start: int = 0) -> int:
-        """Where the pattern begins; below 0 if it is not there."""
+        """Returns the position of the pattern, or a negative number if the buffer does not contain it."""
         return self.data.find(pattern, self.begin + max(0, start), self.end) - self.begin
 
     def peek(self, start: int, stop: int) -> bytes:
-        """A copy of these bytes, which stay here."""
+        """Returns a copy of the bytes from `start` to `stop`, and leaves them in the buffer."""
         return bytes(memoryview(self.data)[self.begin + start : self.begin + stop])
 
     def consume(self, count: int) -> bytes:
-        """The first bytes, which leave the buffer."""
+        """Removes the first `count` bytes and returns them."""
         consumed = self.peek(0, count)
         self.begin += count
         if self.begin == self.end:
             self.begin = 0
             self.end = 0
-            del self.data[self.initial_size :]  # guards memory against connections that once carried much
+            del self.data[self.initial_size :]  # an idle connection keeps no memory of a large message
         return consumed
--- a/ashpath/server/http/request_handler.py
+++ b/ashpath/server/http/request_handler.py
@@ -1,4 +1,4 @@
-"""What each request of a client gets: by its path readiness, the status API, or the delivery of a message."""
+"""Dispatches client requests by path: submission of a message, readiness, or the status API."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class Reply(Struct):
-    """A response, not encoded yet."""
+    """A response that is not encoded yet."""
 
     status: int
-    retry_after: int = 0  # microseconds; 0: not said
+    retry_after: int = 0  # microseconds; 0: no Retry-After
     body: bytes = b""
     accepted: StoredMessage | None = None  # the message that a 202 is for
 
 
 class RequestResponder(Protocol):
-    """Serves paths besides those of every sender."""
+    """Serves additional paths, such as those of the status API."""
 
     def respond(self, request: HttpRequest) -> Reply | None:
-        """The response; none where the path is not served."""
+        """Returns the response, or None if the path is not served here."""
 
 
 class RequestHandler:
@@ -43,7 +43,7 @@
         self.status_api = status_api
 
     def handle(self, request: HttpRequest, connection: HttpConnection) -> Reply:
-        """The response to a request. Does not wait."""
+        """Returns the response to a request. Does not wait."""
         if request.path == wire_names.SUBMIT_PATH:
             return self.submit(request, connection)
         if request.path == wire_names.READINESS_PATH:
@@ -53,20 +53,20 @@
         return reply or Reply(HTTPStatus.NOT_FOUND)
 
     def submit(self, request: HttpRequest, connection: HttpConnection) -> Reply:
-        """Submits the message of a request."""
+        """Submits the message that a request carries, and returns the response."""
         if request.method != b"POST":
             return Reply(HTTPStatus.METHOD_NOT_ALLOWED)
         try:
             message = self.admission.parser.parse(request)
         except InvalidRequestError as error:
             return Reply(error.status)
-        if self.admission.rejecting_all or connection.closed_by_peer():  # who has left will submit it again
+        if self.admission.rejecting_all or connection.closed_by_peer():  # a client that left submits again
             return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
         result = self.admission.admit(message)
         accepted = message if result is ACCEPTED else None
         return Reply(result.status, result.retry_after, accepted=accepted)
 
     def response_lost(self, reply: Reply) -> None:
-        """A client did not take its response: nobody knows that its message was accepted."""
+        """Reports the disconnect of a client that did not receive the 202 for its accepted message."""
         if reply.accepted is not None:
             self.admission.receiver.client_disconnected(reply.accepted)
--- a/ashpath/server/http/request_parser.py
+++ b/ashpath/server/http/request_parser.py
@@ -1,4 +1,4 @@
-"""A request to deliver, parsed to the message that it carries."""
+"""Parses a request into the message that it submits."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 MAX_NUMBER_DIGITS = 12
 MAX_TOKEN_BYTES = 256
 ORDERING_KEY_HASH_BYTES = 6
-UNASSIGNED_MESSAGE_ID = 0  # until it is admitted
+UNASSIGNED_MESSAGE_ID = 0  # until the message is admitted
 
 
 def parse_number(text: bytes) -> int:
-    """A whole number in plain digits, of a size that can be meant. Raises InvalidNumberError.
+    """Returns a whole number of at most `MAX_NUMBER_DIGITS` plain digits. Raises InvalidNumberError.
 
     >>> parse_number(b"1200")
     1200
     >>> parse_number(b"1_200")
     Traceback (most recent call last):
-    ashpath.server.http.errors.InvalidNumberError: b'1_200' is no whole number
+    ashpath.server.http.errors.InvalidNumberError: b'1_200' is not a whole number
     """
     if not text.isdigit() or len(text) > MAX_NUMBER_DIGITS:
         raise InvalidNumberError(text)
@@ -45,8 +45,9 @@
 
 
 def parse_token(text: bytes) -> str:
-    """What is passed on as it is: printable, and short enough to be kept by the thousand. Raises
-    InvalidTokenError.
+    """Returns an identifier that is forwarded unchanged. Raises InvalidTokenError.
+
+    A token is printable ASCII, and short, as thousands of them are kept in memory.
 
     >>> parse_token(b"order-7")
     'order-7'
@@ -57,8 +58,9 @@
 
 
 def parse_destination(text: bytes) -> int:
-    """The number of a destination, one field among others that nobody reads here. Raises InvalidNumberError,
-    StopIteration where there is none.
+    """Returns the number of the destination; the other fields of the header are ignored.
+
+    Raises InvalidNumberError, and StopIteration if the field is missing.
 
     >>> parse_destination(b"zone=2; dest=17")
     17
@@ -68,11 +70,11 @@
 
 
 def ordering_key(cookies: bytes) -> int | None:
-    """The ordering key that a cookie carries, as a number; none where there is none.
+    """Returns the ordering key of a cookie as a number, or None if the cookie has none.
 
     The number is the key's BLAKE2b hash of 48 bits. Unlike `hash` it is the same in every incarnation, as
-    messages outlive the process that accepted them. Two keys with one number would share an ordered queue,
-    which costs time and nothing else.
+    messages outlive the process that accepted them. Two keys with the same number share an ordered queue,
+    which only delays their messages.
 
     >>> ordering_key(b"a=1; about=order-7") == ordering_key(b"about=order-7"), ordering_key(b"a=1")
     (True, None)
@@ -85,20 +87,21 @@
 
 
 class RequestParser:
-    """Parses requests under the settings of now, which `apply_settings` replaces."""
+    """Parses requests under the current settings, which `apply_settings` replaces."""
 
     def __init__(self, settings: PolicySettings, traffic_class_ids: dict[str, int]) -> None:
         self.settings = settings
         self.traffic_class_ids = traffic_class_ids  # by name, of the classes that accept messages
 
     def apply_settings(self, settings: PolicySettings, traffic_class_ids: dict[str, int]) -> None:
-        """For requests from now on."""
+        """Applies the settings to requests that are parsed from now on."""
         self.settings = settings
         self.traffic_class_ids = traffic_class_ids
 
     def parse(self, request: HttpRequest) -> StoredMessage:
-        """Its message, not numbered yet. Raises InvalidRequestError where a header is missing, repeated or
-        not as it should be."""
+        """Returns the message of a request, without a message id.
+
+        Raises InvalidRequestError if a header is missing, repeated or invalid."""
         headers = request.headers
         if request.repeated_headers & UNREPEATABLE_HEADERS:
             raise RepeatedHeaderError
@@ -123,8 +126,9 @@
         )
 
     def idempotency_key(self, headers: dict[bytes, bytes], traffic_class: int) -> str | None:
-        """The key, which a traffic class that is deduplicated by it must have. Raises KeyError,
-        InvalidTokenError."""
+        """Returns the idempotency key, or None; a deduplicated traffic class requires one.
+
+        Raises KeyError if a required key is missing, and InvalidTokenError."""
         retry_safety = self.settings.traffic_classes[traffic_class].retry_safety
         if retry_safety is RetrySafety.DEDUPLICATED or wire_names.IDEMPOTENCY_KEY_HEADER in headers:
             return parse_token(headers[wire_names.IDEMPOTENCY_KEY_HEADER])
--- a/ashpath/server/http/status_api.py
+++ b/ashpath/server/http/status_api.py
@@ -1,7 +1,8 @@
-"""What a client may ask of a sender without a platform: how a message stands, what is accepted and not over,
-and how destinations do. It reads, and changes nothing.
+"""Read-only status API of a sender without a platform: one message, the unfinished messages, and the
+destinations.
 
-Paths, fields and states are of the wire: their names stand here and in `wire_names`, once.
+The names of paths, fields and states are part of the wire format, and are defined only here and in
+`wire_names`.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class MessageRow(TypedDict):
-    """A message that is not over."""
+    """A message without a final outcome."""
 
     id: str
     number: int
@@ -44,7 +45,7 @@
 
 
 class OutcomeRow(TypedDict):
-    """A message that is over."""
+    """A message with a final outcome."""
 
     id: str
     state: str
@@ -53,7 +54,7 @@
 
 
 class MessagePage(TypedDict):
-    """Messages in the order in which they were accepted."""
+    """A page of unfinished messages, in the order of acceptance."""
 
     held: int
     envelopes: list[MessageRow]
@@ -61,7 +62,7 @@
 
 
 class DestinationRow(TypedDict):
-    """A destination, over all of its routes."""
+    """A destination, summed over its routes."""
 
     number: int
     name: str
@@ -77,22 +78,22 @@
 
 
 class DestinationPage(TypedDict):
-    """Destinations in the order of their numbers."""
+    """A page of destinations, in the order of their numbers."""
 
     destinations: list[DestinationRow]
     next: NotRequired[int]
 
 
 class PageRequest(Struct, frozen=True):
-    """Which rows of a list a client asks for."""
+    """The rows of a list that a client requests."""
 
     after: int = BEFORE_FIRST_NUMBER
-    """The number behind which they begin."""
+    """The rows begin after this number."""
     limit: int = MAX_PAGE_ROWS
 
     @classmethod
     def parse(cls, query: bytes) -> PageRequest:
-        """Of a query's `after` and `limit`. Raises ValueError.
+        """Parses `after` and `limit` of a query. Raises ValueError if one is not a whole number.
 
         >>> PageRequest.parse(b"after=7&limit=9000")
         PageRequest(after=7, limit=500)
@@ -106,8 +107,8 @@
 class StatusApi:
     """Serves the status of messages and destinations.
 
-    Both names may change while the sender runs, as the operators' file does: `traffic_classes` has those of
-    traffic classes by number, `destination_names` those of destinations that have one.
+    `traffic_classes` has the names of traffic classes by number, `destination_names` the names of the
+    destinations that have one. Both may change while the sender runs, with the operators' file.
     """
 
     def __init__(
@@ -123,12 +124,12 @@
         self.destination_names = destination_names
 
     def apply_names(self, traffic_classes: list[str], destination_names: dict[int, str]) -> None:
-        """The names in responses from now on."""
+        """Replaces the names that responses use from now on."""
         self.traffic_classes = traffic_classes
         self.destination_names = destination_names
 
     def respond(self, request: HttpRequest) -> Reply | None:
-        """The response; None where the path is not one of these."""
+        """Returns the response, or None if the path is not part of the status API."""
         path, _, query = request.url.partition(b"?")
         is_message = path.startswith(wire_names.MESSAGE_PATH_PREFIX)
         if not is_message and path not in (wire_names.MESSAGES_PATH, wire_names.DESTINATIONS_PATH):
@@ -147,7 +148,7 @@
         return json_reply(HTTPStatus.OK, self.destinations(page))
 
     def message_status(self, trace_id: str) -> Reply:
-        """How one message stands, or ended."""
+        """Returns the response with the state or the final outcome of a message."""
         message = self.policy_runner.write_ahead_log.messages.by_trace_id.get(trace_id)
         if message is not None and not message.finished:
             return json_reply(HTTPStatus.OK, self.message_row(message))
@@ -160,7 +161,7 @@
         return json_reply(HTTPStatus.OK, row)
 
     def message_row(self, message: StoredMessage) -> MessageRow:
-        """One message that is not over."""
+        """Returns the row of a message without a final outcome."""
         in_flight = message.in_flight_since is not None
         return {
             "id": message.trace_id,
@@ -175,7 +176,9 @@
         }
 
     def messages(self, page: PageRequest) -> MessagePage:
-        """Those with a higher number, in the order accepted, which is that of the live messages."""
+        """Returns the unfinished messages after `page.after`, in the order of acceptance.
+
+        The write-ahead log keeps its live messages in that order."""
         live = self.policy_runner.write_ahead_log.messages.live.values()
         unfinished = (message for message in live if not message.finished and message.message_id > page.after)
         found = list(islice(unfinished, page.limit + 1))
@@ -186,7 +189,7 @@
         return listing
 
     def destinations(self, page: PageRequest) -> DestinationPage:
-        """Those with a higher number."""
+        """Returns the destinations after `page.after`, in the order of their numbers."""
         destinations = self.policy_runner.policy.destinations
         numbers = sorted(number for number in destinations if number > page.after)
         rows = [self.destination_row(destinations[number].snapshot()) for number in numbers[: page.limit]]
@@ -196,7 +199,7 @@
         return listing
 
     def destination_row(self, destination: DestinationSnapshot) -> DestinationRow:
-        """One destination, summed over its gates."""
+        """Returns the row of a destination, summed over its gates."""
         gates = destination.gates
         now = self.policy_runner.policy.now
         return {
@@ -215,11 +218,11 @@
 
 
 def json_reply(status: HTTPStatus, fields: object) -> Reply:
-    """A response with a body of JSON."""
+    """Returns a response with a JSON body."""
     return Reply(status, body=orjson.dumps(fields))
 
 
 def breaker_state(gates: tuple[GateSnapshot, ...]) -> str:
-    """The state of a circuit breaker that is not closed, if one is not."""
+    """Returns the state of the first circuit breaker that is not closed, else closed."""
     not_closed = (gate.breaker for gate in gates if gate.breaker is not BreakerState.CLOSED)
     return wire_names.BREAKER_STATES[next(not_closed, BreakerState.CLOSED)]
--- a/ashpath/server/metrics/__init__.py
+++ b/ashpath/server/metrics/__init__.py
@@ -1,8 +1,7 @@
-"""Counts and gauges for Prometheus; imported only where the configuration names an address for them.
+"""Counters and gauges for Prometheus; imported only if the configuration gives an address for them.
 
-`counters` counts what happens, as it happens. `collector` reads how things stand off the sender's parts when
-somebody scrapes. `exposition` serves both over HTTP at an address that may change. `metrics` puts the three
-together for the runtime, which makes one `Metrics`. docs/on-call.md lists the names. The package decides
-nothing, changes nothing, and never holds up a batch: a scraper that is slow, or says nothing, costs its own
-greenlet.
+`counters` counts events as they happen. `collector` reads the gauges from the sender's components at each
+scrape. `exposition` serves both over HTTP at an address that may change. `metrics` combines the three for the
+runtime, which creates one `Metrics`. docs/on-call.md lists the names. The package makes no decision, changes
+no state, and never delays a batch: a slow or silent scraper blocks only its own greenlet.
 """
--- a/ashpath/server/metrics/collector.py
+++ b/ashpath/server/metrics/collector.py
@@ -1,9 +1,8 @@
-"""Reads how things stand off a sender's parts, whenever somebody scrapes.
+"""Reads the gauges from a sender's components at each scrape.
 
-Of destinations only `MAX_ROWS` have rows of their own, those with the most messages first, and of a
-destination's routes as many as are left: so the text is bounded however many there are. Destinations are
-looked at in steps, with a switch of greenlets between two, so that no batch waits for a walk over all of
-them.
+At most `MAX_ROWS` destinations, those with the most messages, and at most `MAX_ROWS` of their routes have
+rows of their own, which limits the text however many exist. Destinations are examined in steps with a
+greenlet switch after each, so that no batch waits for a pass over all of them.
 """
 
 from __future__ import annotations
@@ -21,13 +20,13 @@
 from ashpath.server.metrics.sources import MetricsSource
 
 MAX_ROWS = 100  # destinations, or routes, with rows of their own
-DESTINATIONS_PER_STEP = 500  # looked at between two switches of greenlets
+DESTINATIONS_PER_STEP = 500  # examined between two greenlet switches
 
 
 class GateGauge(Struct, frozen=True):
-    """One gauge of a gate: of a destination, or of each route where routes have limits of their own."""
+    """A gauge of a gate, which is that of a destination, or of a route if routes have limits of their own."""
 
-    name: str  # behind `ashpath_destination_`
+    name: str  # after `ashpath_destination_`
     help_text: str
     read: Callable[[GateSnapshot], float]
 
@@ -50,20 +49,20 @@
 
 
 class GaugeCollector:
-    """A custom collector, as prometheus_client calls it."""
+    """Custom collector of prometheus_client for the gauges of a sender."""
 
     def __init__(self, source: MetricsSource) -> None:
         self.source = source
 
     def collect(self) -> Iterator[Metric]:
-        """All gauges, and the counts that the gossip keeps itself."""
+        """Yields all gauges, and the counters that discovery and gossip keep themselves."""
         yield from self.sender_gauges()
         yield from self.discovery_gauges()
         yield from self.gossip_counters()
         yield from self.destination_gauges()
 
     def sender_gauges(self) -> Iterator[Metric]:
-        """The sender as a whole."""
+        """Yields the gauges of the whole sender."""
         runner = self.source.policy_runner
         settings = runner.policy.settings
         log = self.source.write_ahead_log
@@ -88,7 +87,7 @@
         yield gauge("client_connections", "Connections of clients.", self.source.listener.connection_count)
 
     def discovery_gauges(self) -> Iterator[Metric]:
-        """Where the platform's agent is configured."""
+        """Yields the gauge and counters of service discovery, if the platform's agent is configured."""
         discovery = self.source.discovery
         if discovery is not None:
             age_s = monotonic() - discovery.last_response_at
@@ -108,7 +107,7 @@
             yield polls
 
     def gossip_counters(self) -> Iterator[Metric]:
-        """Where other senders are configured."""
+        """Yields the counters of gossip messages, if other senders are configured."""
         gossip = self.source.gossip
         if gossip is not None:
             family = CounterMetricFamily(
@@ -120,7 +119,7 @@
             yield family
 
     def destination_gauges(self) -> Iterator[Metric]:
-        """The busiest destinations and their gates."""
+        """Yields the gauges of the destinations with the most messages, and of their gates."""
         messages = GaugeMetricFamily(
             "ashpath_destination_messages", "Messages, queued or in flight.", labels=["destination"]
         )
@@ -132,7 +131,7 @@
         ]
         rows_left = MAX_ROWS
         for destination in self.busiest_destinations():
-            snapshot = destination.snapshot(max_gates=rows_left)  # it may have thousands of routes
+            snapshot = destination.snapshot(max_gates=rows_left)  # a destination may have thousands of routes
             rows_left -= len(snapshot.gates)
             number = str(snapshot.number)
             messages.add_metric([number], snapshot.unfinished_messages)
@@ -142,7 +141,7 @@
         yield from (messages, *families)
 
     def busiest_destinations(self) -> list[DestinationState]:
-        """At most `MAX_ROWS`, those with the most messages first. Switches greenlets."""
+        """Returns at most `MAX_ROWS` destinations, those with the most messages first. Switches greenlets."""
         busiest: list[DestinationState] = []
         all_destinations = list(self.source.policy_runner.policy.destinations.values())
         for begin in range(0, len(all_destinations), DESTINATIONS_PER_STEP):
@@ -157,10 +156,10 @@
 
 
 def gauge(name: str, help_text: str, value: float) -> Metric:
-    """A gauge without labels."""
+    """Returns a gauge without labels."""
     return GaugeMetricFamily(f"ashpath_{name}", help_text, value=value)
 
 
 def counter(name: str, help_text: str, value: float) -> Metric:
-    """A counter without labels, kept by the part that it is read off."""
+    """Returns a counter without labels, whose value another component keeps."""
     return CounterMetricFamily(f"ashpath_{name}", help_text, value=value)
--- a/ashpath/server/metrics/counters.py
+++ b/ashpath/server/metrics/counters.py
@@ -1,4 +1,4 @@
-"""Counts what happens in a sender, as it happens. Counts go on over a change of the address."""
+"""Counts events of a sender as they happen. The counts continue after a change of the metrics address."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     10.0,
     30.0,
 )  # upper bounds of buckets
-MICROSECONDS_PER_SECOND = 1e6  # a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class MetricsCounters:
-    """What the policy runner and the outcome recorder report to.
+    """Counters that the policy runner and the outcome recorder update.
 
-    `traffic_class_name`: as the running settings name a number."""
+    `traffic_class_name` maps a number to its name in the current settings."""
 
     def __init__(self, registry: CollectorRegistry, traffic_class_name: Callable[[int], str]) -> None:
         self.traffic_class_name = traffic_class_name
@@ -54,17 +54,17 @@
             registry=registry,
         )
         for outcome in AttemptOutcome:
-            self.attempts.labels(outcome.value)  # shown from the start, at 0
+            self.attempts.labels(outcome.value)  # exposed from the start, as 0
 
     def message_accepted(self, traffic_class: int) -> None:
-        """One more message was accepted."""
+        """Counts an accepted message."""
         self.accepted.labels(self.traffic_class_name(traffic_class)).inc()
 
     def message_finished(self, traffic_class: int, state: str) -> None:
-        """A message has its final state, as `wire_names` has it."""
+        """Counts a message with its final state, which is named as in `wire_names`."""
         self.finished.labels(self.traffic_class_name(traffic_class), state).inc()
 
     def attempt_finished(self, outcome: AttemptOutcome, took_us: int) -> None:
-        """An attempt has its outcome, `took_us` microseconds from its start."""
+        """Counts an attempt with its outcome, `took_us` microseconds after its start."""
         self.attempts.labels(outcome.value).inc()
         self.attempt_seconds.labels(outcome.value).observe(took_us / MICROSECONDS_PER_SECOND)
--- a/ashpath/server/metrics/exposition.py
+++ b/ashpath/server/metrics/exposition.py
@@ -1,8 +1,8 @@
 """Serves the metrics over HTTP, at an address that may change while the sender runs.
 
-It is gevent's WSGI server over prometheus_client's application. `MAX_SCRAPERS` are served at once and each
-has `SCRAPE_TIMEOUT_S`: one that says nothing, or does not read, costs its own greenlet, and no batch waits
-for it.
+gevent's WSGI server runs prometheus_client's application. `MAX_SCRAPERS` are served at once, each for at most
+`SCRAPE_TIMEOUT_S`: a scraper that sends nothing, or does not read, blocks only its own greenlet, and no batch
+waits for it.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 from ashpath.server.addresses import Address
 
-MAX_SCRAPERS = 4  # at once; further ones wait in the listening queue
-SCRAPE_TIMEOUT_S = 2.0  # of a scraper, from its connection to its end
+MAX_SCRAPERS = 4  # served at once; further ones wait in the backlog
+SCRAPE_TIMEOUT_S = 2.0  # from the start to the end of a scraper's connection
 BACKLOG = 16  # connections not yet accepted
 
 
 class TimedHandler(WSGIHandler):
-    """One scraper's connection, cut at its time limit."""
+    """A scraper's connection, which ends at its time limit."""
 
     def handle(self) -> None:
-        """Serves it to its end."""
+        """Serves the connection until it ends."""
         with suppress(Timeout), Timeout(SCRAPE_TIMEOUT_S):
             super().handle()
 
 
 class MetricsServer:
-    """Serves `registry` at `address`; None: nobody is served."""
+    """Serves `registry` at `address`, or nowhere while `address` is None."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.registry = registry
@@ -40,7 +40,9 @@
         self.server: WSGIServer | None = None
 
     def move(self, address: Address | None) -> None:
-        """Raises OSError where the address cannot be had; the server that was there before then serves on."""
+        """Serves at another address, or nowhere if `address` is None.
+
+        Raises OSError if the address is not available; the previous server then continues."""
         if address == self.address:
             return
         started = None if address is None else self.start(address)
@@ -51,7 +53,7 @@
             previous.stop(timeout=0)
 
     def start(self, address: Address) -> WSGIServer:
-        """Raises OSError."""
+        """Returns a started server at an address. Raises OSError if the address is not available."""
         server = WSGIServer(
             bind(address),
             make_wsgi_app(self.registry),
@@ -59,7 +61,7 @@
             error_log=None,
             spawn=Pool(MAX_SCRAPERS),
             handler_class=TimedHandler,
-            # Else it would look its name up, and other greenlets would run in the middle of a move.
+            # Without a name the server resolves one, and other greenlets would run in the middle of `move`.
             environ={"SERVER_NAME": address[0]},
         )
         server.start()
@@ -67,7 +69,7 @@
 
 
 def bind(address: Address) -> socket.socket:
-    """A listening socket. Raises OSError."""
+    """Returns a listening socket at an address. Raises OSError if the address is not available."""
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/ashpath/server/metrics/metrics.py
+++ b/ashpath/server/metrics/metrics.py
@@ -1,4 +1,4 @@
-"""Puts a sender's metrics together: counters, gauges, and the server that shows both."""
+"""Combines a sender's metrics: the counters, the gauges, and the server that exposes both."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Metrics:
-    """The metrics of one sender. `counters` is to be reported to while there is an address, and not else."""
+    """Metrics of one sender. Callers update `counters` only while `address` is set."""
 
     def __init__(self, source: MetricsSource) -> None:
         registry = CollectorRegistry()
@@ -23,9 +23,11 @@
 
     @property
     def address(self) -> Address | None:
-        """Where the metrics are served now; None: nowhere."""
+        """Address at which the metrics are served, or None."""
         return self.server.address
 
     def move(self, address: Address | None) -> None:
-        """Raises OSError where the address cannot be had; what was there before then serves on."""
+        """Serves the metrics at another address, or nowhere if `address` is None.
+
+        Raises OSError if the address is not available; the previous address then stays in use."""
         self.server.move(address)
--- a/ashpath/server/metrics/sources.py
+++ b/ashpath/server/metrics/sources.py
@@ -1,4 +1,4 @@
-"""What the metrics read of a sender."""
+"""The components of a sender from which metrics are read."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class MetricsSource(Protocol):
-    """The parts of a running sender that metrics are read off."""
+    """Components of a running sender that the metrics read."""
 
     @property
     def policy_runner(self) -> PolicyRunner:
-        """Messages, attempts, and the policy's destinations."""
+        """Source of messages, attempts, and the policy's destinations."""
         ...
 
     @property
     def write_ahead_log(self) -> WriteAheadLog:
-        """Its size and its bound."""
+        """Source of the write-ahead log's size and size limit."""
         ...
 
     @property
     def listener(self) -> ClientListener:
-        """Clients' connections."""
+        """Source of the number of client connections."""
         ...
 
     @property
     def discovery(self) -> DiscoveryClient | None:
-        """The age of the endpoint list; None where no agent is configured."""
+        """Source of the age of the endpoint list; None if no agent is configured."""
         ...
 
     @property
     def gossip(self) -> Gossip | None:
-        """None until the configuration names other senders."""
+        """Source of gossip counts; None until the configuration names other senders."""
         ...
 
     def traffic_class_name(self, traffic_class: int) -> str:
-        """As the running settings name it; empty where they have no such number."""
+        """Returns the name of a traffic class in the current settings, or "" for an unknown number."""
         ...
--- a/tests/server/control/test_connection_table.py
+++ b/tests/server/control/test_connection_table.py
@@ -1,4 +1,4 @@
-"""Which connection gives way at the operators' address."""
+"""Eviction of connections at the control address."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def pairs() -> Iterator[list[Pair]]:
-    """Connections: our end, and the operator's."""
+    """Yields connections as pairs of sockets: the sender's end, and the operator's."""
     made = [socket.socketpair() for _ in range(3)]
     yield made
     for ours, operators in made:
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def table(pairs: list[Pair]) -> ControlConnectionTable:
-    """Full."""
+    """Returns a full table."""
     made = ControlConnectionTable(capacity=3)
     for ours, _ in pairs:
         assert not made.full
@@ -50,10 +50,10 @@
     for _, operators in (pairs[0], pairs[2]):
         operators.sendall(b"PI")
     assert not table.evict_silent()
-    assert pairs[0][0].recv(100) == b"PIPI"  # nothing of it was taken
+    assert pairs[0][0].recv(100) == b"PIPI"  # no byte was consumed
 
 
 def test_ended_connection_frees_its_slot(table: ControlConnectionTable, pairs: list[Pair]) -> None:
     table.remove(pairs[0][0])
-    table.remove(pairs[0][0])  # as it may have given way before
+    table.remove(pairs[0][0])  # an evicted connection is removed twice
     assert not table.full
--- a/tests/server/control/test_operator_commands.py
+++ b/tests/server/control/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands at the operators' address, on sockets."""
+"""Commands at the control address, over sockets."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
         socket.create_connection(started.control_address) as half,
         socket.create_connection(started.control_address) as silent,
     ):
-        half.sendall(b"DETA")  # half a command, and it stays
+        half.sendall(b"DETA")  # half a command, and the connection stays open
         for command, answer in ANSWERS:
             assert started.operator_command(command).startswith(answer)
         assert started.response_status(READY) == 200
-        assert half.recv(100).startswith(b"ERR no whole line")  # after its own time limit
+        assert half.recv(100).startswith(b"ERR no whole line")  # at its own time limit
         assert silent.recv(100).startswith(b"ERR no whole line")
 
 
@@ -43,7 +43,7 @@
     assert idle is not None
     assert started.operator_command(b"LAMEDUCK\n").startswith(b"OK")
     until(lambda: started.response_status(READY) == 503)
-    assert idle.receive() is False or not len(idle.buffer)  # closed by the sender, not left idle
+    assert idle.receive() is False or not len(idle.buffer)  # closed by the sender
     assert started.submit("l1", "free", "200", 4) == 202
     until(lambda: started.attempt_count("l1") == 1)
     assert started.operator_command(b"REJOIN\n").startswith(b"OK")
@@ -51,7 +51,7 @@
 
 
 def test_silent_operators_do_not_block_other_operators(started: World) -> None:
-    """Of very many the longest silent ones give way."""
+    """Guards against silent connections that use up the limit: the longest silent ones are evicted."""
     connections = [socket.create_connection(started.control_address) for _ in range(500)]
     connections[0].sendall(b"PI")
     for _ in range(10):
@@ -63,10 +63,10 @@
 
 
 def test_detached_endpoint_stays_detached_after_new_list_and_restart(started: World) -> None:
-    for _ in range(2):  # two DETACH need one ATTACH
+    for _ in range(2):  # one ATTACH undoes both
         assert started.operator_command(b"DETACH e5\n").startswith(b"OK")
     assert started.submit("h1", "free", "200", 5, time_left_ms=3000) == 202
-    # Discovery lists it as active anew meanwhile.
+    # Service discovery lists the endpoint as up again in the meantime.
     started.config["known"] = {"revision": 2, "complete": True, "members": started.members}
     started.kill(signal.SIGKILL)
     started.start()
--- a/tests/server/control/test_protocol.py
+++ b/tests/server/control/test_protocol.py
@@ -1,4 +1,4 @@
-"""The line protocol of the operators' address."""
+"""Line protocol of the control address."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     (b"DETACH ep-3\n", EndpointCommand(Verb.DETACH, "ep-3")),
     (b"ATTACH ep-3\r\nrest", EndpointCommand(Verb.ATTACH, "ep-3")),
 ]
-INVALID = [  # and the start of the reason that the answer gives
+INVALID = [  # a line and the reason that the answer gives
     (b"x" * MAX_LINE_BYTES, "line longer than 256 bytes"),
     (b"DETACH " + b"e" * MAX_LINE_BYTES + b"\n", "line longer than 256 bytes"),
     (b"DETACH \xff\n", "line is not ASCII"),
--- a/tests/server/http/test_admission.py
+++ b/tests/server/http/test_admission.py
@@ -1,4 +1,4 @@
-"""Which requests are accepted, and which are rejected and why."""
+"""Admission of requests: acceptance, and rejection with its reason."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def admission_and_log(folder: Path, max_bytes: int = 1 << 20) -> tuple[Admission, WriteAheadLog]:
-    """An admission behind a listener of its own."""
+    """Returns the admission of a new listener, and its write-ahead log."""
     listener, _, write_ahead_log = client_listener(folder, max_bytes)
     return listener.handler.admission, write_ahead_log
 
 
 def test_trace_id_of_live_message_is_rejected_as_duplicate(tmp_path: Path) -> None:
-    """The same id from another client meets no second message, until the first is over."""
+    """The same trace id from another client creates no second message while the first is unfinished."""
     listener, receiver, write_ahead_log = client_listener(tmp_path)
     admission = listener.handler.admission
     first, second = (read_request(data) for data in SAME_TRACE_ID)
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("result", REJECTIONS, ids=repr)
 def test_policy_rejection_gives_its_status_and_retry_after(tmp_path: Path, result: SubmitResult) -> None:
-    """What the policy decides in the batch of the submission is what the client reads."""
+    """The client reads the decision that the policy makes in the batch of the submission."""
     listener, receiver, _ = client_listener(tmp_path)
     receiver.submit_result = result
     admission = listener.handler.admission
@@ -57,7 +57,8 @@
 
 
 def test_full_write_ahead_log_rejects_messages_and_loses_none(tmp_path: Path) -> None:
-    """Never more than the disk holds, old and new file together; a 503 where there is no room, none lost."""
+    """Guards against a log that outgrows the disk when its old and new file exist together: messages without
+    space are answered 503, and no accepted message is lost."""
     max_bytes = 8 * BLOCK_BYTES
     admission, write_ahead_log = admission_and_log(tmp_path, max_bytes)
     statuses: list[int] = []
--- a/tests/server/http/test_client_connection.py
+++ b/tests/server/http/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: requests that are late, cut or too many, and ends that take nothing back."""
+"""A client connection: late, truncated and excess requests, and closes that lose no response."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 
 def test_departed_client_is_not_submitted_or_is_reported_disconnected(tmp_path: Path) -> None:
-    """Before the request is read: it is not submitted. Before the response is out: disconnected."""
+    """A client that leaves before its request is read submits nothing; one that leaves before its response is
+    written is reported as disconnected."""
     listener, receiver, write_ahead_log = client_listener(tmp_path)
     near, far = socket.socketpair()
     far.sendall(request("g0", "free", "200", 1))
@@ -33,7 +34,7 @@
 
 
 def test_stalled_connections_end_and_leave_the_table(tmp_path: Path) -> None:
-    """Silent, dripping or idle for too long: each connection ends, and nothing of it is kept."""
+    """Connections that are silent, stalled within a request or idle for too long end, and keep no state."""
     listener, receiver, _ = client_listener(tmp_path, request_s=0.05, client_idle_s=0.05)
     for data, statuses in ((b"", []), (b"POST /api", [408]), (request("q", "free", "200", 1), [202])):
         near, far = socket.socketpair()
@@ -58,7 +59,7 @@
 
 
 def test_bytes_after_last_request_do_not_reset_its_response(tmp_path: Path) -> None:
-    """Guards the last response on a connection: a close over unread bytes would reset it and take it back."""
+    """Guards against a lost last response: a close with unread bytes resets the connection."""
     listener, receiver, _ = client_listener(tmp_path)
     listener.begin_shutdown(respond_by=float("inf"))
     near, far = tcp_pair()
@@ -76,8 +77,9 @@
 @pytest.mark.parametrize("size", [3, 60_000], ids=["short", "long"])
 @pytest.mark.parametrize("first", [True, False], ids=["first", "idle"])
 def test_request_sent_during_drain_is_not_submitted_or_reset(tmp_path: Path, first: bool, size: int) -> None:
-    """Guards a request that comes in the instant of the shutdown: it is not submitted, as nobody could be
-    answered; its client sees an end in order and asks elsewhere."""
+    """Guards against a message accepted without a response, and against a reset: a request that arrives just
+    after the half-close of a shutdown is not submitted, and its client reads an orderly end and retries at
+    another sender."""
     listener, receiver, _ = client_listener(tmp_path)
     near, far = tcp_pair()
     served = serve(listener, near)
@@ -92,7 +94,7 @@
     assert receive_all(far) == b""
     assert receiver.events == ["submitted a"] * (not first)
     gevent.sleep(0.05)
-    assert not far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)  # no reset behind the end
+    assert not far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)  # no reset after the end
     far.close()
     served.join(20)
     assert served.dead
@@ -100,7 +102,7 @@
 
 
 def test_truncated_request_is_answered_400_and_not_submitted(tmp_path: Path) -> None:
-    """A client that ends its side within a request can read what was wrong; nothing is submitted."""
+    """A client that half-closes within a request reads a 400, and nothing is submitted."""
     listener, receiver, _ = client_listener(tmp_path)
     data = request("a", "free", "200 " + "x" * 300, 1)
     for cut in (1, 30, data.index(b"\r\n\r\n"), len(data) - 1):
@@ -113,7 +115,8 @@
 
 
 def test_flooding_client_that_resets_frees_its_connection_slot(tmp_path: Path) -> None:
-    """Its place is free again, and nothing of it was submitted."""
+    """Guards against a leak of the connection count: a client that pipelines requests and resets frees its
+    slot, and nothing is submitted."""
     listener, receiver, _ = client_listener(tmp_path)
     near, far = tcp_pair()
     listener.connection_count = 1
--- a/tests/server/http/test_connection.py
+++ b/tests/server/http/test_connection.py
@@ -1,4 +1,4 @@
-"""The states of a connection as a client: which responses leave it ready, and which unusable."""
+"""States of a client-side connection: the responses that leave it ready, and those that make it unusable."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def receiving(data: bytes) -> SocketPairConnection:
-    """A connection whose far end has sent these bytes, and closed its side."""
+    """Returns a connection whose peer has sent these bytes and closed its side."""
     near, far = socket.socketpair()
     far.sendall(data)
     far.shutdown(socket.SHUT_WR)
--- a/tests/server/http/test_connection_table.py
+++ b/tests/server/http/test_connection_table.py
@@ -1,4 +1,4 @@
-"""Which connections of clients are closed, to make room or at the end, and which are not."""
+"""The choice of the client connections that are closed, at a limit or at the end of the process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 
 def test_longest_idle_clients_are_closed_beyond_idle_limit(tmp_path: Path) -> None:
-    """Those idle longest are closed, so that others find a connection; whose request has just come is not."""
+    """Guards against idle clients that use up all connections: the longest idle ones are closed, except one
+    whose next request waits to be read."""
     listener, receiver, _ = client_listener(tmp_path, idle_client_connections=2, client_idle_s=60.0)
     clients = []
     for number in range(5):
@@ -26,12 +27,12 @@
     closed = [True] * 3 + [False] * 2
     until(lambda: [client.closed_by_peer() for client in clients if client.read_response()] == closed)
     clients[3].write(request("s5", "free", "200", 1))
-    assert not listener.table.evict(ConnectionState.IDLE)  # the longest idle one: its request is not read yet
+    assert not listener.table.evict(ConnectionState.IDLE)  # the longest idle one has an unread request
     until(lambda: len(receiver.events) == 6)
 
 
 def test_half_closed_client_is_evicted_before_active_ones(tmp_path: Path) -> None:
-    """One that was drained and stays makes room at once, before anybody who still asks."""
+    """A drained client that does not close is evicted before a client within a request."""
     listener, _, _ = client_listener(tmp_path, silent_eviction_s=0.0, stalled_request_s=0.0)
     (near, far), (other, asks) = tcp_pair(), tcp_pair()
     staying = serve(listener, near)
@@ -52,7 +53,8 @@
 
 
 def test_request_with_unread_bytes_is_not_evicted_as_stalled(tmp_path: Path) -> None:
-    """Guards a request whose last byte is in: its connection makes no room, the next stalled one does."""
+    """Guards against the loss of a request whose last bytes wait to be read: the next stalled connection is
+    evicted in its place."""
     listener, receiver, _ = client_listener(tmp_path, stalled_request_s=0.0)
     (near, far), (other, stalled) = tcp_pair(), tcp_pair()
     data = request("a", "free", "200", 1)
@@ -70,7 +72,7 @@
 
 
 def test_unread_bytes_at_exit_do_not_reset_client(tmp_path: Path) -> None:
-    """Guards clients against the exit, which closes what is open: half a request unread would reset it."""
+    """Guards against resets at exit, when the kernel closes connections with half a request unread."""
     listener, receiver, _ = client_listener(tmp_path)
     near, far = tcp_pair()
     served = serve(listener, near)
@@ -78,7 +80,7 @@
     far.sendall(b"POST /api HT")
     connection = listener.table.connections(ConnectionState.AWAITING_FIRST_REQUEST)[0]
     listener.close_all()
-    connection.sock.close()  # as the exit does, with no greenlet run in between
+    connection.sock.close()  # as at the exit, without a greenlet switch before
     assert receive_all(far) == b""
     assert not receiver.events
     served.join(20)
--- a/tests/server/http/test_framing.py
+++ b/tests/server/http/test_framing.py
@@ -1,4 +1,4 @@
-"""Where bodies end: chunks that come in pieces, and those that are not as they should be."""
+"""The end of chunked bodies: chunks that arrive in pieces, and invalid ones."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 MAX_BODY_BYTES = 2048
 BODY = b"2;a=b\r\nok\r\n0\r\nX: y\r\n\r\n"
-# What a body in chunks begins with, the error and its message.
+# The begin of an invalid chunked body, its error and the message of that.
 INVALID: dict[bytes, tuple[type[ProtocolError], str]] = {
-    b"zz\r\n": (ChunkSizeError, "a chunk without a proper size"),
-    b"-2\r\n": (ChunkSizeError, "a chunk without a proper size"),
+    b"zz\r\n": (ChunkSizeError, "chunk without a valid size"),
+    b"-2\r\n": (ChunkSizeError, "chunk without a valid size"),
     b"ffffffff\r\nok": (BodyTooLongError, "body too long"),
-    b"3\r\nokay\r\n": (ChunkEndError, "a chunk longer than its size"),
-    b"2;" + b"a" * 2000: (ChunkLineError, "a line of chunks without end"),
-    b"2;" + b"a" * 2000 + b"\r\nok\r\n": (ChunkOverheadError, "chunks with too much beside them"),
-    b"1\r\nx\r\n" * 800: (ChunkOverheadError, "chunks with too much beside them"),
+    b"3\r\nokay\r\n": (ChunkEndError, "chunk longer than its size"),
+    b"2;" + b"a" * 2000: (ChunkLineError, "chunk line without an end"),
+    b"2;" + b"a" * 2000 + b"\r\nok\r\n": (ChunkOverheadError, "chunk framing too long"),
+    b"1\r\nx\r\n" * 800: (ChunkOverheadError, "chunk framing too long"),
 }
 
 
 def receive(buffer: ReceiveBuffer, data: bytes) -> None:
-    """Puts bytes into a buffer as a socket does."""
+    """Writes bytes to a buffer as a socket does."""
     with buffer.free_space(len(data)) as space:
         space[: len(data)] = data
     buffer.commit(len(data))
--- a/tests/server/http/test_listener.py
+++ b/tests/server/http/test_listener.py
@@ -1,4 +1,4 @@
-"""The address of clients under load: what each request gets, and clients that stay."""
+"""The listener under load: the status of each kind of request, and clients that do not close."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     world.start()
     stalled = [
         world.connect() for _ in range(LIMITS.client_connections + 20)
-    ]  # more than it has descriptors for
+    ]  # more than the process has descriptors for
     for connection in stalled:
         assert connection is not None
         connection.write(b"POST /api HTTP/1.1\r\n")
@@ -71,7 +71,8 @@
 
 
 def test_discovery_reconnects_while_idle_clients_fill_descriptors(world: World) -> None:
-    """Guards discovery, notices and the control address: each is dialled anew within what clients leave."""
+    """Guards against clients that use up the descriptors: discovery, notifications and the control address
+    connect anew with those that remain."""
     held: list[socket.socket] = []
 
     def hold(sock: socket.socket, address: object) -> None:
@@ -93,7 +94,7 @@
         connection.sock.sendall(b"GET /health/ready HTTP/1.1\r\n\r\n")
     assert (
         world.submit("owed", "once", "hang", 1, time_left_ms=300) == 202
-    )  # its notice has nowhere to go yet
+    )  # its notification cannot be delivered yet
     assert world.operator_command(b"PING\n") == b"OK\n"
     until(lambda: "event=discovery now=silent" in (world.folder / "log").read_text())
     descriptors = len(os.listdir(f"/proc/{world.process.pid}/fd"))
@@ -117,10 +118,10 @@
 
 
 def test_lost_listening_socket_is_reopened(world: World) -> None:
-    """Guards clients: accepting on a descriptor that will never serve again would serve nobody."""
+    """Guards against an endless retry of accept on a descriptor that fails permanently."""
     world.faults = ProcessFaults((CallFault(FaultyCall.ACCEPT, "EINVAL", skip=3, count=3),))
     world.start()
     statuses = [world.submit(f"m{number}", "free", "200", 1) for number in range(8)]
     until(lambda: "listening socket lost" in (world.folder / "log").read_text())
     assert world.submit("later", "free", "200", 1) == 202
-    assert statuses.count(202) >= 5  # those within the socket's queue are reset, and come again
+    assert statuses.count(202) >= 5  # those in the lost socket's backlog are reset, and retried
--- a/tests/server/http/test_request_handler.py
+++ b/tests/server/http/test_request_handler.py
@@ -1,4 +1,4 @@
-"""What a request gets by its path, and what a response that was not taken means."""
+"""Dispatch of requests by path, and the effect of a lost response."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def handle(stages: ListenerStages, data: bytes, *, left: bool = False) -> Reply:
-    """The response to a request whose client is there, or has left."""
+    """Returns the reply to a request whose client is connected, or has left."""
     near, far = socket.socketpair()
     far.sendall(data)
     if left:
--- a/tests/server/http/test_request_parser.py
+++ b/tests/server/http/test_request_parser.py
@@ -1,4 +1,4 @@
-"""The message of a request, header by header."""
+"""Parsing of a request into its message, header by header."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from ashpath.server.timers import stored_time
 
 VALID = request("t1", "tag", "200", 7, time_left_ms=1500, ordering_key="k")
-# What is replaced by what, and the message of the error.
+# The replacement in a valid request (old, new), and the message of the error.
 INVALID = {
-    (b"X-Qos: tag", b"X-Qos: none"): "not an envelope: 'none'",
-    (b"X-Qos: tag", b"X-Other: tag"): "not an envelope: b'x-qos'",
-    (b"1500", b"soon"): "not an envelope: b'soon' is no whole number",
-    (b"1500", b"1" * 13): f"not an envelope: {b'1' * 13!r} is no whole number",
-    (b"dest=7", b"zone=7"): "not an envelope: ",
-    (b"dest=7", b"dest=-7"): "not an envelope: b'-7' is no whole number",
-    (b"X-Trace-Id: t1", b"X-Trace-Id: \xc3\xa9"): "not an envelope: not a printable word",
-    (b"X-Trace-Id: t1", b"X-Trace-Id: " + b"t" * 257): "not an envelope: not a printable word",
-    (b"Idempotency-Key", b"Other-Key"): "not an envelope: b'idempotency-key'",
-    (b"X-Qos: tag", b"X-Qos: tag\r\nX-Qos: tag"): "not an envelope: told twice",
+    (b"X-Qos: tag", b"X-Qos: none"): "invalid request: 'none'",
+    (b"X-Qos: tag", b"X-Other: tag"): "invalid request: b'x-qos'",
+    (b"1500", b"soon"): "invalid request: b'soon' is not a whole number",
+    (b"1500", b"1" * 13): f"invalid request: {b'1' * 13!r} is not a whole number",
+    (b"dest=7", b"zone=7"): "invalid request: ",
+    (b"dest=7", b"dest=-7"): "invalid request: b'-7' is not a whole number",
+    (b"X-Trace-Id: t1", b"X-Trace-Id: \xc3\xa9"): "invalid request: not a printable ASCII token",
+    (b"X-Trace-Id: t1", b"X-Trace-Id: " + b"t" * 257): "invalid request: not a printable ASCII token",
+    (b"Idempotency-Key", b"Other-Key"): "invalid request: b'idempotency-key'",
+    (b"X-Qos: tag", b"X-Qos: tag\r\nX-Qos: tag"): "invalid request: header repeated",
 }
 
 
--- a/tests/server/metrics/test_collector.py
+++ b/tests/server/metrics/test_collector.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize(("destinations", "routes"), [(5000, 1), (1, 5000)])
 def test_destination_rows_are_limited_to_max_rows(destinations: int, routes: int) -> None:
-    """Guards the scraper, and batches, against very many destinations, or one with very many routes."""
+    """Guards scrapes and batches against the cost of very many destinations, or of very many routes."""
     gate = Mock(snapshot=lambda: GateSnapshot("x1", 1, 0, BreakerState.OPEN, 0.0, 0.0, False, 0))
     destination = Mock(number=7, unfinished_messages=1, endpoints=[], gates=lambda: [gate] * routes)
     destination.snapshot = lambda max_gates: DestinationState.snapshot(destination, max_gates)
--- a/tests/server/metrics/test_metrics.py
+++ b/tests/server/metrics/test_metrics.py
@@ -1,4 +1,4 @@
-"""What Prometheus reads of a running sender, scrapers that say nothing, and an address that moves."""
+"""Metrics of a running sender, silent scrapers, and changes of the metrics address."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from ashpath.server.metrics.exposition import MAX_SCRAPERS, SCRAPE_TIMEOUT_S
 
 DELIVERED = ("messages_finished_total", "completed", "free")
-SUBMITTED = [  # id, traffic class, destination, and what its attempts meet
+SUBMITTED = [  # trace id, traffic class, destination, and the body, which sets the responses to attempts
     ("a", "free", 0, "200"),
     ("b", "free", 1, "500 200"),
     ("c", "once", 2, "500"),
@@ -29,7 +29,7 @@
 
 
 def scrape(address: Address) -> dict[tuple[str, ...], float]:
-    """Each sample by its name and the values of its labels, in the order of their names."""
+    """Returns each sample by its name and its label values, in the order of the label names."""
     connection = open_connection(address, LIMITS)
     headers = [host_header(address), (b"Connection", b"close")]
     connection.write(encode_message(b"GET /metrics HTTP/1.1", headers, b""))
@@ -49,7 +49,8 @@
 
 
 def move_metrics(world: World, event: str, address: Address | None) -> None:
-    """Counts begin as it listens, shortly behind the log line."""
+    """Changes the metrics address, and waits until the server listens: the counters start with it, shortly
+    after the log line."""
     listen = address and {"listen": f"{address[0]}:{address[1]}"}
     reload_configuration(world, event, metrics=listen)
     until(lambda: address is None or is_listening(address))
@@ -107,8 +108,9 @@
 
 
 def test_metrics_address_changes_and_counters_continue(pair: tuple[World, World]) -> None:
-    """To one in use: one line, and the old one serves on. To none: nobody is served. Counts are kept. In a
-    hot upgrade the new process starts beside the one that has it, and takes it once that ends."""
+    """A change to an address in use logs one line, and the old address stays in use; after a change to none,
+    no server listens. The counters continue. In a hot upgrade the new process starts beside the old one, and
+    takes the address once that ends."""
     old, new = pair
     first, second, in_use = free_address(), free_address(), socket.socket()
     in_use.bind(("127.0.0.1", 0))
@@ -134,7 +136,7 @@
 
 
 def test_listen_address_in_configuration_file_is_applied(tmp_path: Path) -> None:
-    """Taken at SIGHUP; an address in use at the start is one line that names file and key."""
+    """SIGHUP applies the address; an address in use at the start is one error line with file and key."""
     alone, address = Alone(tmp_path), free_address()
     alone.start()
     alone.rest += f'[metrics]\nlisten = "127.0.0.1:{address[1]}"\n'
