--- a/ashpath/server/http/admission.py
+++ b/ashpath/server/http/admission.py
@@ -98,7 +98,7 @@
             return DUPLICATE  # a second copy would be delivered beside the unfinished one
         if len(self.receiver.messages) >= self.settings.queue_capacity > 0:
             return OVER_CAPACITY  # the platform rejects messages beyond the sender's queue capacity
-        if not self.registry.serves(message.destination):  # not listed yet
+        if not self.registry.serves(message.destination):  # not listed, but may be soon
             retry_after = min(self.settings.max_retry_after, DEFAULT_RETRY_AFTER)
             return AdmissionResult(HTTPStatus.SERVICE_UNAVAILABLE, retry_after)
         return None
--- a/ashpath/server/http/connection.py
+++ b/ashpath/server/http/connection.py
@@ -5,7 +5,7 @@
 | state | event | next |
 | --- | --- | --- |
 | ready | `read_request` returns: one complete request consumed | ready; the caller writes the response |
-| ready | ProtocolError, a failure of the socket, or its end | to be closed by the caller |
+| ready | ProtocolError, a failure of the socket, or the end of the connection | the caller closes it |
 
 As a client, `unusable` and `status_line_read` give the state:
 
@@ -190,7 +190,9 @@
         return framing <= self.limits.body_bytes if isinstance(framing, int) else framing is not None
 
     def _read_status(self) -> int:
-        """Returns the status code of a valid status line, and consumes nothing. Raises ProtocolError."""
+        """Returns the status code of a valid status line, and consumes nothing.
+
+        Raises ProtocolError, ConnectionClosedError, OSError."""
         searched = 0
         while (end := self.buffer.find(b"\n", searched)) < 0:
             searched = len(self.buffer)
--- a/ashpath/server/http/connection_table.py
+++ b/ashpath/server/http/connection_table.py
@@ -20,7 +20,7 @@
 
 Connections are evicted in this order, the one longest in its state first: half-closed ones whose client has
 not closed; those without a first request; idle ones; those stalled within a request. A connection in
-RESPONDING is never evicted, nor is one with unread bytes.
+RESPONDING is never evicted, nor is one whose next request, or a further part of it, waits to be read.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
         return entered_at
 
     def remove(self, connection: HttpConnection) -> None:
-        """Removes a closed connection, if the table contains it."""
+        """Removes a connection, if the table contains it."""
         entries = self.entries_by_connection.pop(connection, None)
         if entries is not None:
             del entries[connection]
@@ -136,8 +136,8 @@
         return evicted
 
     def evict(self, state: ConnectionState, min_age_s: float = 0.0) -> bool:
-        """Closes the connection longest in a state, if it is there for `min_age_s` and no request waits to be
-        read; returns whether it did.
+        """Closes the connection longest in a state, unless it entered the state less than `min_age_s` ago or
+        its next request waits to be read; returns whether it did.
 
         In READING, closes the first candidate without unread bytes: a client that still sends has not
         stalled."""
--- a/ashpath/server/http/transport.py
+++ b/ashpath/server/http/transport.py
@@ -63,7 +63,8 @@
         return not self.unusable and not len(self.buffer) and self.peek_byte() is None
 
     def closed_by_peer(self) -> bool:
-        """Whether the peer has closed its side and no unread bytes precede its end. Does not wait."""
+        """Whether the peer has closed its side, or the connection has failed, and no unread bytes precede
+        that. Does not wait."""
         return self.peek_byte() == b""
 
     def peek_byte(self) -> bytes | None:
