--- a/ashpath/bench_adapter/policy_instance.py
+++ b/ashpath/bench_adapter/policy_instance.py
@@ -128,4 +128,4 @@
             self.policy.endpoint_poll_failed()
         else:
             rows = self.endpoint_lists[body["sheet"]]
-            self.policy.update_endpoints(rows, whole=body["kind"] != LIST_CHANGED)
+            self.policy.update_endpoints(rows, complete=body["kind"] != LIST_CHANGED)
--- a/ashpath/core/destination_state.py
+++ b/ashpath/core/destination_state.py
@@ -21,7 +21,7 @@
         self.number = number
         self.queues = queues
         self.gate = self.new_gate("")
-        self.known: dict[str, Endpoint] = {}
+        self.known_endpoints: dict[str, Endpoint] = {}
         """Those listed, and removed ones until they are forgotten."""
         self.endpoints: list[Endpoint] = []
         """Those listed, in ranked order."""
@@ -30,7 +30,7 @@
         """Endpoints are separate routes, each with a gate of its own."""
         self.max_batch_size = 1
         self.unfinished_messages = 0
-        self.check_at = 0
+        self.dispatch_at = 0
         """When the latest timer to dispatch is due."""
         state.needs_ranking[self] = None
 
@@ -50,10 +50,10 @@
         """One of each route, where endpoints are separate routes."""
         return [endpoint.gate for endpoint in self.endpoints] if self.limit_per_endpoint else [self.gate]
 
-    def opens_in(self, *, only_reported: bool = False) -> int:
+    def opens_in(self, *, only_retry_after: bool = False) -> int:
         """The time until the first gate may open, as far as it is known, or as destinations asked for."""
         now = self.state.now
-        opens = (g.retry_after_until if only_reported else g.opens_at(now) or 0 for g in self.gates())
+        opens = (g.retry_after_until if only_retry_after else g.opens_at(now) or 0 for g in self.gates())
         return min((max(0, at - now) for at in opens), default=0)
 
     def delivery_rate(self) -> float:
@@ -67,10 +67,10 @@
         self.kind = row.kind
         self.limit_per_endpoint = kind.limit_per_endpoint
         self.max_batch_size = kind.max_batch_size
-        before = self.known.get(row.endpoint_id)
+        before = self.known_endpoints.get(row.endpoint_id)
         if before is None or (before.gate is self.gate) == self.limit_per_endpoint:  # new, or kinds changed
-            self.known[row.endpoint_id] = self._new_endpoint(row, before)
-        endpoint = self.known[row.endpoint_id]
+            self.known_endpoints[row.endpoint_id] = self._new_endpoint(row, before)
+        endpoint = self.known_endpoints[row.endpoint_id]
         endpoint.gate.apply_listed_rate(row.listed_rate)
         others = [e for e in self.endpoints if e.endpoint_id != row.endpoint_id]
         serves = row.status is EndpointStatus.ACTIVE and row.endpoint_id not in state.detached
@@ -80,21 +80,23 @@
     def _new_endpoint(self, row: EndpointRecord, before: Endpoint | None) -> Endpoint:
         gate = self.new_gate(row.endpoint_id) if self.limit_per_endpoint else self.gate
         if before is not None:
-            gate.follow(before.gate)
+            gate.inherit_from(before.gate)
         draw = self.state.random.random()
         return Endpoint(endpoint_id=row.endpoint_id, zone=row.zone, gate=gate, tie_break=draw)
 
     def forget_endpoints(self, unused_us: int) -> None:
         """Guards against endpoints that are replaced under new ids all day: those unused for so long."""
         now = self.state.now
-        unused = (e for e in self.known.values() if not e.in_flight and e.last_call_at + unused_us <= now)
+        unused = (
+            e for e in self.known_endpoints.values() if not e.in_flight and e.last_call_at + unused_us <= now
+        )
         for endpoint in [e for e in unused if e.gate.retry_after_until <= now and e not in self.endpoints]:
-            del self.known[endpoint.endpoint_id]
+            del self.known_endpoints[endpoint.endpoint_id]
 
-    def schedule_check(self, at: int) -> None:
+    def schedule_dispatch(self, at: int) -> None:
         """Dispatches again at that time, if not before."""
-        if not self.state.now < self.check_at <= at:
-            self.check_at = at
+        if not self.state.now < self.dispatch_at <= at:
+            self.dispatch_at = at
             self.state.actions.schedule_timer(at, destination_timer(self.number))
 
     def snapshot(self, max_gates: int | None = None) -> DestinationSnapshot:
--- a/ashpath/core/gate_state.py
+++ b/ashpath/core/gate_state.py
@@ -24,7 +24,7 @@
         route: str,
         rate_limit: RateLimitState,
         outage: OutageState,
-        errors: DecayingShare,
+        error_share: DecayingShare,
     ) -> None:
         self.state = state
         self.destination = destination
@@ -51,7 +51,7 @@
         """Faults of this machine, in a row."""
         self.local_pause_until = 0
         """No call goes through before, as this machine has something too little of."""
-        self.errors = errors
+        self.error_share = error_share
         """Errors and resets, of late answers."""
 
     @abstractmethod
@@ -74,7 +74,7 @@
         """Takes the call's place and tokens."""
         endpoint = attempt.endpoint
         now = self.state.now
-        attempt.successes_mark = endpoint.fast_successes + endpoint.in_flight
+        attempt.expected_fast_successes = endpoint.fast_successes + endpoint.in_flight
         endpoint.call_interval = now - endpoint.last_call_at
         endpoint.last_call_at = now
         endpoint.in_flight += 1
@@ -90,20 +90,20 @@
         attempt.endpoint.in_flight -= 1
         del self.state.attempts_in_flight[attempt]
 
-    def drop_reservations(self, now: int) -> None:
+    def expire_reservations(self, now: int) -> None:
         """Those that are over."""
         reservations = self.reservations
         while reservations and reservations[0] <= now:
             reservations.popleft()
 
-    def follow(self, other: GateState) -> None:
+    def inherit_from(self, other: GateState) -> None:
         """Takes over the waits and outage of the gate in whose place this one comes."""
         self.retry_after_until = max(self.retry_after_until, other.retry_after_until)
         outage = self.outage
         outage.down = outage.down or other.outage.down
         outage.recovering_since = max(outage.recovering_since, other.outage.recovering_since)
 
-    def log(self, text: str) -> None:
+    def report_mode_change(self, text: str) -> None:
         """Reports a change of mode."""
         place = f"route {self.route}" if self.route else f"destination {self.destination}"
         rate = self.outage.completions.rate()
--- a/ashpath/core/messages.py
+++ b/ashpath/core/messages.py
@@ -17,7 +17,7 @@
     from ashpath.core.destination_state import DestinationState
     from ashpath.core.gate_state import GateState
 
-LONG_AGO = -(10**9)
+DISTANT_PAST_US = -(10**9)
 """Before anything happened, in microseconds."""
 
 
@@ -56,7 +56,7 @@
     tie_break: float
     """Drawn at random: the order among equals is each sender's own."""
     in_flight: int = 0
-    last_call_at: int = LONG_AGO
+    last_call_at: int = DISTANT_PAST_US
     call_interval: int = 0
     """Between the starts of the latest two calls."""
     mean_duration: float = 0.0
@@ -91,7 +91,7 @@
     """The gate has had the call's one outcome."""
     duration_bound: int = 0
     """Nearly all calls take no longer: past this it is overdue."""
-    successes_mark: int = 0
+    expected_fast_successes: int = 0
     """The fast successes of its endpoint by the time that all calls then in flight are over."""
     is_trial: bool = False
     """The trial request of a half-open circuit breaker."""
--- a/ashpath/core/policy_engine.py
+++ b/ashpath/core/policy_engine.py
@@ -80,7 +80,7 @@
         message.attempts = previous.attempts
         message.restored_untried = not previous.attempts
         if previous.first_run_at is not None:
-            endpoint = destination.known.get(previous.first_run_endpoint)
+            endpoint = destination.known_endpoints.get(previous.first_run_endpoint)
             message.first_run = FirstRun(previous.first_run_at, endpoint.zone if endpoint else -1)
         if message.ordered_queue and previous.unresolved:
             message.ordered_queue.settles_at = self.now + self.settings.settle_time
@@ -117,7 +117,7 @@
             ordered_queue = self.ordered_queues.setdefault(key, OrderedQueue(key))
             message.ordered_queue = ordered_queue
             ordered_queue.messages.append(message)
-            self.schedule_check(message)
+            self.schedule_re_evaluation(message)
             self.advance(ordered_queue)
         else:
             self.enqueue(message)
@@ -126,9 +126,9 @@
         """It waits for a call of its destination."""
         message.destination.queues.add(message, first=first)
         self.needs_dispatch[message.destination] = None
-        self.schedule_check(message)
+        self.schedule_re_evaluation(message)
 
-    def schedule_check(self, message: Message) -> None:
+    def schedule_re_evaluation(self, message: Message) -> None:
         """Re-evaluates a message when the policy says."""
         self.actions.schedule_timer(self.re_evaluation_time(message), message_timer(message.message_id))
 
@@ -167,10 +167,10 @@
         self.needs_dispatch[destination] = None
         self.needs_ranking[destination] = None
 
-    def update_endpoints(self, rows: list[EndpointRecord], whole: bool) -> None:
+    def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
         """The whole endpoint list, or changes of it."""
         self.failed_polls = 0
-        for destination in self.destinations.values() if whole else ():
+        for destination in self.destinations.values() if complete else ():
             destination.endpoints = []
             self.needs_ranking[destination] = None
         for row in rows:
@@ -182,22 +182,22 @@
         """An operator takes an endpoint out: it drains until put back, then warms up, listed as in `row`."""
         (self.detached.add if detached else self.detached.discard)(endpoint_id)
         if not detached and row is not None:
-            self.update_endpoints([row], whole=False)
+            self.update_endpoints([row], complete=False)
         for destination in self.destinations.values():
-            if endpoint_id not in destination.known:
+            if endpoint_id not in destination.known_endpoints:
                 continue
             if detached:
                 destination.endpoints = [e for e in destination.endpoints if e.endpoint_id != endpoint_id]
             else:  # guards a restarted endpoint against the sum of all senders at once
-                destination.known[endpoint_id].gate.outage.recover()
+                destination.known_endpoints[endpoint_id].gate.outage.recover()
             self.destination_changed(destination)
 
     def receive_gossip(self, message: bytes) -> None:
         """It may be late, of an endpoint not known here, or no message at all."""
         recovered = EndpointRecovered.decode(message)
         destination = self.destinations.get(recovered.destination) if recovered else None
-        if recovered and destination and recovered.endpoint_id in destination.known:
-            destination.known[recovered.endpoint_id].gate.recovery_reported()
+        if recovered and destination and recovered.endpoint_id in destination.known_endpoints:
+            destination.known_endpoints[recovered.endpoint_id].gate.recovery_reported()
             self.needs_dispatch[destination] = None
 
     def retry_after_received(self, number: int, endpoint_id: str, until: int) -> None:
@@ -214,7 +214,7 @@
         # All routes where the endpoint is not known.
         destination = self.destination(number)
         self.destination_changed(destination)
-        known = destination.known.get(endpoint_id)
+        known = destination.known_endpoints.get(endpoint_id)
         return destination.gates() if known is None else [known.gate]
 
     # Time.
--- a/ashpath/core/rate_limit_state.py
+++ b/ashpath/core/rate_limit_state.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 
 from ashpath.core.interface import LoadReport
-from ashpath.core.messages import LONG_AGO
+from ashpath.core.messages import DISTANT_PAST_US
 from ashpath.core.sender_state import SenderState
 from ashpath.core.token_bucket import TokenBucket
 
@@ -17,10 +17,10 @@
         "bucket",
         "decreased_at",
         "rate",
-        "refused_at",
+        "rejected_at",
         "remaining_quota",
-        "reported",
         "reported_at",
+        "reported_limit",
         "state",
     )
 
@@ -28,11 +28,11 @@
         self.state = state
         self.bucket = TokenBucket()
         self.decreased_at = state.now
-        self.refused_at = LONG_AGO
+        self.rejected_at = DISTANT_PAST_US
         """The latest refusal where responses report no limit."""
         self.rate = 0.0
         """0: not paced."""
-        self.reported = 0.0
+        self.reported_limit = 0.0
         """Of all senders together: noisy, old; or what stands in for it."""
         self.reported_at = 0
         self.remaining_quota = 1.0
@@ -44,10 +44,10 @@
     def reset(self) -> None:
         """Forgets what was reported: from now on it comes in another way."""
         self.rate = 0.0
-        self.reported = 0.0
+        self.reported_limit = 0.0
         self.reported_at = 0
         self.remaining_quota = 1.0
 
     def even_split(self) -> float:
         """This sender's part of the reported limit, if all senders had the same."""
-        return self.reported / self.state.settings.sender_count
+        return self.reported_limit / self.state.settings.sender_count
--- a/ashpath/core/traffic_class_ids.py
+++ b/ashpath/core/traffic_class_ids.py
@@ -11,7 +11,7 @@
     """Traffic class rows in the order of their ids, and the ids that accept nothing new."""
 
     rows: list[JsonObject]
-    closed: list[int]
+    closed_ids: list[int]
 
 
 def number_traffic_classes(
--- a/ashpath/emulator/baselines/skeleton.py
+++ b/ashpath/emulator/baselines/skeleton.py
@@ -79,9 +79,9 @@
             del self.needs_dispatch[destination]
             self._dispatch(destination)
 
-    def update_endpoints(self, rows: list[EndpointRecord], whole: bool) -> None:
-        """Service discovery reported these endpoints; `whole`: and there are no others."""
-        if whole:
+    def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
+        """Service discovery reported these endpoints; `complete`: and there are no others."""
+        if complete:
             for destination in self.destinations.values():
                 destination.endpoints = []
         for row in rows:
--- a/ashpath/emulator/policy_under_test.py
+++ b/ashpath/emulator/policy_under_test.py
@@ -42,8 +42,8 @@
     def end_batch(self) -> None:
         """Closes the batch: the policy decides now."""
 
-    def update_endpoints(self, rows: list[EndpointRecord], whole: bool) -> None:
-        """Service discovery reported these endpoints; `whole`: and there are no others."""
+    def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
+        """Service discovery reported these endpoints; `complete`: and there are no others."""
 
     def submit(self, message_id: int, number: int, traffic_class: int, key: int | None, left: int) -> None:
         """A message for a destination was accepted, `left` before its deadline."""
--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -52,7 +52,7 @@
         for destination in self.destinations.values():
             destination.queues.add_classes()
             if reports_changed:
-                for gate in (destination.gate, *(e.gate for e in destination.known.values())):
+                for gate in (destination.gate, *(e.gate for e in destination.known_endpoints.values())):
                     gate.rate_limit.reset()
 
     def new_destination(self, number: int) -> Destination:
@@ -170,7 +170,7 @@
         if not retries.may_be_sent(self, message):
             self.finish_undelivered(message)
         elif message.queue is None:
-            self.schedule_check(message)
+            self.schedule_re_evaluation(message)
         else:
             self.enqueue(message)
 
@@ -195,7 +195,7 @@
         self.needs_ranking = {}
         for destination in changed:
             destination.forget_endpoints(tuning.RATE_WINDOW)
-            if not (destination.known or destination.unfinished_messages):
+            if not (destination.known_endpoints or destination.unfinished_messages):
                 del self.destinations[destination.number]
             elif destination.endpoints:
                 destination.rank()
--- a/ashpath/policy/destination.py
+++ b/ashpath/policy/destination.py
@@ -39,7 +39,7 @@
         if self.max_batch_size > 1:
             deadline = self.queues.batching_deadline(self.max_batch_size)
             if deadline:
-                self.schedule_check(deadline)
+                self.schedule_dispatch(deadline)
                 return
         for gate in self.gates():
             if not self._dispatch_through(gate):
@@ -59,7 +59,7 @@
             picked = self._pick_endpoint_and_message(gate) if opens_at is None else None
             if picked is None:
                 if opens_at:
-                    self.schedule_check(opens_at)
+                    self.schedule_dispatch(opens_at)
                 break
             self._start_attempt(*picked)
         return True
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -40,7 +40,7 @@
 
     def opens_at(self, now: int) -> int | None:
         """Returns None if a call may start now, else the time of the next check; 0: at the next outcome."""
-        self.drop_reservations(now)
+        self.expire_reservations(now)
         paused_until = max(self.retry_after_until, self.local_pause_until)
         if now < paused_until:
             return paused_until
@@ -91,7 +91,7 @@
         self.local_pause_until = self.state.now + int(pause * (0.5 + 0.5 * self.state.random.random()))
         self.local_faults += 1
         if self.local_faults == 1:
-            self.log("local fault: calls pause")
+            self.report_mode_change("local fault: calls pause")
 
     def _failed(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
         attempt.endpoint.failed(gain=tuning.SMOOTHING_GAIN)
@@ -113,7 +113,7 @@
         fast = 2 * duration < attempt.timeout
         endpoint.delivered(duration, fast=fast, gain=tuning.SMOOTHING_GAIN)
         self.outage.succeeded()
-        self.errors.reduce()
+        self.error_share.reduce()
         self.rate_limit.increase()
         if self.outage.down:
             self._recovered(endpoint.endpoint_id)
@@ -129,7 +129,7 @@
     def _recovered(self, endpoint_id: str) -> None:
         self.outage.recover()
         allowed = self.allowance(self.state.now)
-        self.log(f"back: allowed {allowed:.1f}/s of {self.outage.completions.rate():.1f}/s")
+        self.report_mode_change(f"back: allowed {allowed:.1f}/s of {self.outage.completions.rate():.1f}/s")
         if self.state.settings.gossip_enabled:
             self.state.actions.publish(EndpointRecovered(self.destination, endpoint_id).encode())
 
@@ -146,20 +146,22 @@
         self.open_until = (
             self.state.now + cooldown + cooldown * settings.sender_index // settings.sender_count
         )
-        self.log(f"breaker open {cooldown // 1000} ms: {outcome.value}, reopened {self.reopened}")
+        self.report_mode_change(
+            f"breaker open {cooldown // 1000} ms: {outcome.value}, reopened {self.reopened}"
+        )
 
     def _close(self) -> None:
         self.breaker = BreakerState.CLOSED
         self.limit = 1
         self.fast_successes = 0
         self.reopened = 0
-        self.log("breaker closed")
+        self.report_mode_change("breaker closed")
 
     def apply_listed_rate(self, rate: float) -> None:
         """Uses the rate of the endpoint list where responses report none; a `rate` of 0 changes nothing."""
         settings = self.state.settings
         if settings.has_listed_rates and not settings.has_load_reports:
-            self.rate_limit.reported = rate or self.rate_limit.reported
+            self.rate_limit.reported_limit = rate or self.rate_limit.reported_limit
 
     def recovery_reported(self) -> None:
         """Ends the outage, as another sender has delivered a message.
--- a/ashpath/policy/judgement.py
+++ b/ashpath/policy/judgement.py
@@ -31,7 +31,7 @@
 
     The attempt's connection may then be dead, and the endpoint does not process the call.
     """
-    return attempt.endpoint.fast_successes > attempt.successes_mark + tuning.OVERTAKING_SUCCESSES
+    return attempt.endpoint.fast_successes > attempt.expected_fast_successes + tuning.OVERTAKING_SUCCESSES
 
 
 def record_failure(gate: Gate, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> bool:
@@ -43,7 +43,7 @@
     outage = gate.outage
     if outcome is AttemptOutcome.OVERLOADED and not settings.has_load_reports:
         gate.rate_limit.refused_without_report(outage.completions.rate())
-    rate_limited = outcome is AttemptOutcome.OVERLOADED and gate.rate_limit.reported > 0
+    rate_limited = outcome is AttemptOutcome.OVERLOADED and gate.rate_limit.reported_limit > 0
     found_full_table = is_connection_table_full(settings, outcome, duration)
     ambiguous = found_full_table or outcome in (AttemptOutcome.OVERLOADED, AttemptOutcome.TIMED_OUT)
     ample_quota = gate.rate_limit.remaining_quota >= tuning.AMPLE_QUOTA or not settings.has_load_reports
@@ -59,13 +59,13 @@
     outage_announced = ample_quota and gate.retry_after_until - gate.state.now > tuning.OUTAGE_DETECTION_TIME
     if outage_announced or (failure_run and not outage.down):
         outage.begin(max(gate.state.now, gate.retry_after_until))
-        gate.log(f"ailing: {outage.failures:.1f} failures, last {outcome.value}")
+        gate.report_mode_change(f"ailing: {outage.failures:.1f} failures, last {outcome.value}")
     if rate_limited and not failure_run and not outage_announced:  # the rate limit explains the failure
         gate.rate_limit.decrease(attempt.started_at, outage.succeeded_at)
         return True
     if outcome in (AttemptOutcome.ERROR, AttemptOutcome.CONNECTION_RESET):
         # An error among successes is no sign of load.
-        return gate.errors.add(gate.state.now) < tuning.OVERLOAD_ERROR_SHARE and not failure_run
+        return gate.error_share.add(gate.state.now) < tuning.OVERLOAD_ERROR_SHARE and not failure_run
     return outcome is AttemptOutcome.TIMED_OUT and (duration < attempt.timeout or was_overtaken(attempt))
 
 
--- a/ashpath/policy/outage.py
+++ b/ashpath/policy/outage.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ashpath.core.messages import LONG_AGO
+from ashpath.core.messages import DISTANT_PAST_US
 from ashpath.core.outage_state import OutageState
 from ashpath.core.statistics import SECOND, EventRate
 from ashpath.core.token_bucket import TokenBucket
@@ -30,7 +30,7 @@
         """
         self.begin(self.state.now)
         total = rate * tuning.RATE_WINDOW / SECOND
-        self.completions = EventRate(tuning.RATE_WINDOW, LONG_AGO, self.state.now, total)
+        self.completions = EventRate(tuning.RATE_WINDOW, DISTANT_PAST_US, self.state.now, total)
 
     def is_failure_run(self, *, ambiguous: bool, min_failures: float) -> bool:
         """Returns whether the consecutive failures make an outage, given this sender's rate of deliveries.
--- a/ashpath/policy/rate_pacing.py
+++ b/ashpath/policy/rate_pacing.py
@@ -23,25 +23,25 @@
         if not self.rate:
             return None
         senders_root = self.state.settings.sender_count**0.5  # all senders send bursts of their own
-        burst = tuning.BURST_SECONDS * self.reported * self.remaining_quota / senders_root
+        burst = tuning.BURST_SECONDS * self.reported_limit * self.remaining_quota / senders_root
         return self.bucket.available_at(now, self.rate, max(1.0, burst))
 
     def update(self, report: LoadReport) -> None:
         """Adapts the limit to a load report."""
-        before = self.reported
+        before = self.reported_limit
         elapsed = self.state.now - self.reported_at
         self.remaining_quota = report.remaining_quota
         self.reported_at = self.state.now
         gain = max(tuning.SMOOTHING_GAIN, 1 - exp(-elapsed / tuning.REPORT_WINDOW)) if before else 1.0
-        self.reported += gain * (report.rate_limit - before)
+        self.reported_limit += gain * (report.rate_limit - before)
         # The rate keeps its share of the limit: a sender that calls seldom gets a single report of a lower
         # limit and has to follow at once.
         first_rate = max(self.state.initial_rate, self.even_split())
-        self._set_rate(self.rate * self.reported / before if self.rate else first_rate)
+        self._set_rate(self.rate * self.reported_limit / before if self.rate else first_rate)
 
     def _set_rate(self, rate: float) -> None:
         # A limit that was not reported does not bound the rate.
-        maximum = self.reported if self.state.settings.has_load_reports else rate
+        maximum = self.reported_limit if self.state.settings.has_load_reports else rate
         self.rate = max(min(rate, maximum), tuning.MIN_EVEN_SPLIT_SHARE * self.even_split())
 
     def refused_without_report(self, delivery_rate: float) -> None:
@@ -51,9 +51,9 @@
         in deliveries per second.
         """
         self.remaining_quota = 0.0
-        self.refused_at = self.state.now
+        self.rejected_at = self.state.now
         own_rate = max(delivery_rate, self.state.initial_rate)
-        self.reported = self.reported or own_rate * self.state.settings.sender_count
+        self.reported_limit = self.reported_limit or own_rate * self.state.settings.sender_count
 
     def decrease(self, started_at: int, succeeded_at: int) -> None:
         """Decreases the rate after a rejection that the limit explains, once per burst.
@@ -83,8 +83,8 @@
         state = self.state
         has_reports = state.settings.has_load_reports
         if not has_reports:  # estimates the quota by the time since the latest rejection
-            self.remaining_quota = 1 - exp((self.refused_at - state.now) / tuning.REPORT_WINDOW)
-        if not self.reported:
+            self.remaining_quota = 1 - exp((self.rejected_at - state.now) / tuning.REPORT_WINDOW)
+        if not self.reported_limit:
             return
         even_split = self.even_split()
         rate = self.rate or max(state.initial_rate, even_split)
--- a/ashpath/policy/retries.py
+++ b/ashpath/policy/retries.py
@@ -16,7 +16,7 @@
     """
     destination = message.destination
     untried = message.restored_untried and not message.attempts
-    sent_at = state.now + destination.opens_in(only_reported=untried)
+    sent_at = state.now + destination.opens_in(only_retry_after=untried)
     expected = destination.queues.expected_duration(message.traffic_class)
     if message.deadline_at - sent_at <= expected:
         return False
--- a/ashpath/server/endpoint_membership.py
+++ b/ashpath/server/endpoint_membership.py
@@ -17,5 +17,5 @@
     def receive_members(self, members: list[EndpointRow], *, complete: bool) -> bool:
         """Applies a listing; whether every member could be read."""
         change = self.registry.apply_members(members, complete=complete)
-        self.policy_runner.update_endpoints(change.records, whole=change.complete)
+        self.policy_runner.update_endpoints(change.records, complete=change.complete)
         return not change.unreadable
--- a/ashpath/server/policy_runner.py
+++ b/ashpath/server/policy_runner.py
@@ -99,7 +99,7 @@
         with self._batch as policy:
             for endpoint_id in detached:
                 policy.set_detached(endpoint_id, detached=True)
-            policy.update_endpoints(records, whole=True)
+            policy.update_endpoints(records, complete=True)
             for outage in outages:
                 policy.restore_outage(outage.destination, outage.endpoint, outage.rate)
             for message in restored:
@@ -117,17 +117,17 @@
         with self._batch as policy:
             policy.set_detached(endpoint_id, detached=detached, row=record)
 
-    def update_endpoints(self, records: list[EndpointRecord], *, whole: bool) -> None:
-        """The endpoint list changed; `whole`: the records take the place of all."""
+    def update_endpoints(self, records: list[EndpointRecord], *, complete: bool) -> None:
+        """The endpoint list changed; `complete`: the records take the place of all."""
         with self._batch as policy:
-            policy.update_endpoints(records, whole=whole)
+            policy.update_endpoints(records, complete=complete)
 
     def apply_settings(self, settings: PolicySettings, records: list[EndpointRecord]) -> None:
         """New settings, and the endpoint list again, as kinds may have other routes now."""
         with self._batch as policy:
             self.actions.use_settings(settings)
             policy.apply_settings(settings)
-            policy.update_endpoints(records, whole=True)
+            policy.update_endpoints(records, complete=True)
 
     def receive_gossip(self, message: bytes) -> None:
         """Another sender published it."""
--- a/tests/core/test_traffic_class_ids.py
+++ b/tests/core/test_traffic_class_ids.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "known", "live_messages", "rows", "closed"),
+    ("listed", "known", "live_messages", "rows", "closed_ids"),
     [
         ([B, A], [A, B], 0, [B, A], []),
         ([B, A], [A, B], 1, [A, B], []),
@@ -28,6 +28,6 @@
     known: list[JsonObject],
     live_messages: int,
     rows: list[JsonObject],
-    closed: list[int],
+    closed_ids: list[int],
 ) -> None:
-    assert number_traffic_classes(listed, known, live_messages) == (rows, closed)
+    assert number_traffic_classes(listed, known, live_messages) == (rows, closed_ids)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -105,7 +105,7 @@
         expect attempt a
         +10ms remove x1
     """)
-    known = scenario.policy.destinations[7].known
+    known = scenario.policy.destinations[7].known_endpoints
     gate = known["x1"].gate
     scenario.messages[scenario.ids["a"]].due_at = 60 * SECOND  # a long time-out
     scenario.run_to(15 * SECOND)
--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -27,9 +27,11 @@
     "message timer": lambda scenario: timer_fired(f"e{scenario.ids['b']}"),
     "destination timer": lambda scenario: timer_fired("d7"),
     "drain": lambda scenario: lambda policy: policy.update_endpoints(
-        [replace(scenario.endpoints["x1"], status=EndpointStatus.DRAINING)], whole=False
+        [replace(scenario.endpoints["x1"], status=EndpointStatus.DRAINING)], complete=False
+    ),
+    "remove": lambda scenario: lambda policy: policy.update_endpoints(
+        [scenario.endpoints["x2"]], complete=True
     ),
-    "remove": lambda scenario: lambda policy: policy.update_endpoints([scenario.endpoints["x2"]], whole=True),
     "list": lambda scenario: scenario.whole_list(),
     "detach": lambda scenario: lambda policy: policy.set_detached("x1", detached=True),
     "retry after": lambda scenario: lambda policy: policy.retry_after_received(
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -123,4 +123,4 @@
         for line in (f"+1s list x{number}", f"+0s remove x{number - 1}", f"+0s submit b{number} s 7"):
             scenario.step(line.split())
         scenario.step(f"+1s delivered b{number}".split())
-    assert len(scenario.policy.destinations[7].known) < 15
+    assert len(scenario.policy.destinations[7].known_endpoints) < 15
--- a/tests/server/discovery/test_departures.py
+++ b/tests/server/discovery/test_departures.py
@@ -45,8 +45,8 @@
 
 
 def response(spec: ListSpec) -> EndpointListResponse:
-    revision, whole, phases = spec
-    return EndpointListResponse([row(*item) for item in phases.items()], whole, revision)
+    revision, complete, phases = spec
+    return EndpointListResponse([row(*item) for item in phases.items()], complete, revision)
 
 
 @pytest.mark.parametrize("name", CASES)
--- a/tests/server/test_endpoint_membership.py
+++ b/tests/server/test_endpoint_membership.py
@@ -18,18 +18,18 @@
 UNREADABLE = {"id": "e2", "cell": 7, "phase": "up", "host_port": "nowhere"}
 
 
-@pytest.mark.parametrize("whole", [True, False])
+@pytest.mark.parametrize("complete", [True, False])
 @pytest.mark.parametrize("members", [[GOOD], [GOOD, UNREADABLE]], ids=len)
-def test_a_listing_reaches_registry_and_policy(members: list[dict[str, object]], whole: bool) -> None:
+def test_a_listing_reaches_registry_and_policy(members: list[dict[str, object]], complete: bool) -> None:
     """What cannot be read hides no other member, and is reported."""
     registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), structlog.get_logger())
     policy_runner = create_autospec(PolicyRunner, instance=True)
     seen: list[tuple[list[str], bool, bool]] = []
 
-    def update(records: list[EndpointRecord], *, whole: bool) -> None:
-        seen.append(([record.endpoint_id for record in records], whole, "e1" in registry.addresses))
+    def update(records: list[EndpointRecord], *, complete: bool) -> None:
+        seen.append(([record.endpoint_id for record in records], complete, "e1" in registry.addresses))
 
     policy_runner.update_endpoints.side_effect = update
-    readable = EndpointMembership(registry, policy_runner).receive_members(members, complete=whole)
+    readable = EndpointMembership(registry, policy_runner).receive_members(members, complete=complete)
     assert readable is (len(members) == 1)
-    assert seen == [(["e1"], whole, True)]
+    assert seen == [(["e1"], complete, True)]
--- a/tests/support/crippled_policies.py
+++ b/tests/support/crippled_policies.py
@@ -39,12 +39,14 @@
 class LingeringPolicy(DeliveryPolicy):
     """Ignores that endpoints are removed."""
 
-    def update_endpoints(self, rows: list[EndpointRecord], whole: bool) -> None:
-        super().update_endpoints([row for row in rows if row.status is EndpointStatus.ACTIVE], whole)
+    def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
+        super().update_endpoints([row for row in rows if row.status is EndpointStatus.ACTIVE], complete)
         for row in rows:
             if row.status is EndpointStatus.REMOVED and row.destination in self.destinations:
                 destination = self.destinations[row.destination]
-                destination.endpoints = [destination.known.get(row.endpoint_id) or destination.endpoints[0]]
+                destination.endpoints = [
+                    destination.known_endpoints.get(row.endpoint_id) or destination.endpoints[0]
+                ]
 
     def still_valid(self, message_id: int, now: int) -> bool:
         return True
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -175,7 +175,7 @@
             if until is None or until > fleet.now
         ]
         restored = [self.restore(message_id) for message_id in kept]
-        self.run_batch(lambda policy: policy.update_endpoints(rows, whole=True), *outages, *restored)
+        self.run_batch(lambda policy: policy.update_endpoints(rows, complete=True), *outages, *restored)
 
     def restore(self, message_id: int) -> PolicyEvent:
         message = self.messages[message_id]
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -216,7 +216,7 @@
 
     def whole_list(self) -> PolicyEvent:
         rows = list(self.endpoints.values())
-        return lambda policy: policy.update_endpoints(rows, whole=True)
+        return lambda policy: policy.update_endpoints(rows, complete=True)
 
     def run_batch(self, *events: PolicyEvent) -> None:
         self.policy.begin_batch(self.now)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -239,7 +239,7 @@
             if what != "list":
                 self.draining_since[name] = self.now
         rows = [self.endpoints[name] for name in names]
-        self.run_batch(lambda policy: policy.update_endpoints(rows, whole=False))
+        self.run_batch(lambda policy: policy.update_endpoints(rows, complete=False))
 
     def set_detached(self, name: str, *, detached: bool) -> None:
         """Detached it is draining, whatever is listed: the same grace, then nothing."""
