--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Every change of a message's state is in the table, or refused."""
+"""Message states: `transition` allows exactly the changes in `TRANSITIONS`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(("before", "after"), product(MessageState, MessageState))
-def test_only_changes_of_the_table_are_made(before: MessageState, after: MessageState) -> None:
+def test_transition_follows_table_and_raises_otherwise(before: MessageState, after: MessageState) -> None:
     message = Stub(before)
     if after in TRANSITIONS[before]:
         transition(message, after)
@@ -28,6 +28,6 @@
         assert message.state is before
 
 
-def test_a_finished_message_stays_finished() -> None:
+def test_finished_state_is_final_and_reachable_from_all_others() -> None:
     assert not TRANSITIONS[MessageState.FINISHED]
     assert all(MessageState.FINISHED in TRANSITIONS[state] for state in MessageState if TRANSITIONS[state])
--- a/tests/core/test_statistics.py
+++ b/tests/core/test_statistics.py
@@ -1,4 +1,4 @@
-"""Running figures: their mean from the first value on, and rates that follow."""
+"""Running statistics: means from the first value on, event rates, and decaying shares."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ashpath.core.statistics import SECOND, DecayingShare, EventRate, RunningStatistics
 
 
-def test_the_first_values_have_their_plain_mean() -> None:
+def test_first_values_give_arithmetic_mean() -> None:
     durations = RunningStatistics(min_gain=0.1)
     for value in (10, 20, 30):
         durations.add(value)
@@ -15,7 +15,7 @@
     assert durations.count == 3
 
 
-def test_later_values_weigh_the_least_gain() -> None:
+def test_later_values_have_minimum_gain() -> None:
     durations = RunningStatistics(min_gain=0.5)
     for value in (0, 0, 0, 8):
         durations.add(value)
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("seconds", [5, 10, 60])
-def test_a_steady_rate_is_unbiased_from_early_on(seconds: int) -> None:
+def test_steady_event_rate_is_unbiased_from_half_a_window_on(seconds: int) -> None:
     rate = EventRate(window_us=10 * SECOND, started_at=0)
     for tenth in range(1, 10 * seconds + 1):
         rate.add(tenth * SECOND // 10)
@@ -31,7 +31,7 @@
     assert rate.uncorrected_rate() <= rate.rate()
 
 
-def test_a_skipped_pause_leaves_the_rate() -> None:
+def test_skipped_pause_does_not_change_rate() -> None:
     rate = EventRate(window_us=10 * SECOND, started_at=0)
     for second in range(1, 6):
         rate.add(second * SECOND)
@@ -40,7 +40,7 @@
     assert rate.rate() == pytest.approx(before)
 
 
-def test_a_share_decays_by_the_second_and_by_other_events() -> None:
+def test_share_decays_over_time_and_by_uncounted_events() -> None:
     share = DecayingShare(gain=0.5, updated_at=0)
     assert share.add(0) == 0.5
     assert share.add(SECOND) == pytest.approx(0.375 + 0.5 * 0.625)
--- a/tests/core/test_traffic_class_ids.py
+++ b/tests/core/test_traffic_class_ids.py
@@ -1,4 +1,4 @@
-"""Ids of traffic classes over changes of the settings."""
+"""Ids of traffic classes across changes of the settings."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         ([A, B], [A, B, CHANGED_A, C], 1, [A, B, CHANGED_A, C], [2, 3]),
     ],
 )
-def test_a_number_keeps_its_settings_while_messages_are_live(
+def test_id_keeps_its_settings_while_messages_are_live(
     listed: list[JsonObject],
     known: list[JsonObject],
     live_messages: int,
