--- a/ashpath/__init__.py
+++ b/ashpath/__init__.py
@@ -1,1 +1,1 @@
-"""ashpath: a relay that hands envelopes on to destinations that nobody here controls."""
+"""ashpath: a relay that delivers messages to destinations which it does not control."""
--- a/ashpath/__main__.py
+++ b/ashpath/__main__.py
@@ -1,10 +1,10 @@
 """Starts a sender under the platform's agent: `python -m ashpath`.
 
-SIGHUP is noted from the first line on: by default it would end a process whose modules are still loaded, and
-one that comes after the file was read must not be forgotten.
+The SIGHUP handler is installed before the sender's modules are imported: the default action would end the
+process while they load, and a SIGHUP that arrives after the configuration file was read must not be lost.
 
-Nothing that a start allocates is garbage before its end, so the collector is off until then: it would walk
-the loaded modules again and again. `SenderRuntime.run` switches it on.
+Start-up creates no garbage until it is complete, so the garbage collector is disabled until then: it would
+traverse the loaded modules repeatedly. `SenderRuntime.run` enables it.
 """
 
 import gc
@@ -15,6 +15,6 @@
 pending_hangups: list[int] = []
 signal.signal(signal.SIGHUP, lambda number, _: pending_hangups.append(number))
 
-from ashpath.server.platform_deployment import main  # noqa: E402 - the handler comes first
+from ashpath.server.platform_deployment import main  # noqa: E402 - the handler is installed first
 
 sys.exit(main(pending_hangups))
--- a/ashpath/core/__init__.py
+++ b/ashpath/core/__init__.py
@@ -1,6 +1,6 @@
-"""What every other package imports: the policy's interface and settings, message lifecycle, statistics.
+"""Types that all packages share: the policy's interface, settings and state, message states, statistics.
 
-The policy extends its states and books, which decide nothing; adapters speak through `interface.py`, and
-convert the operators' settings here. It imports nothing above itself, opens no file or socket, reads no
-clock, and has no tuned value of its own.
+The policy subclasses the state classes of this package, which contain no decisions. Adapters use the policy
+through `interface.py`, and convert the operators' settings with `policy_settings.py`. This package imports no
+other package of ashpath, opens no file or socket, reads no clock, and contains no tuning constants.
 """
--- a/ashpath/core/destination_state.py
+++ b/ashpath/core/destination_state.py
@@ -1,4 +1,4 @@
-"""The state of a destination and its bookkeeping; the policy's `Destination` decides on it."""
+"""The state of a destination, and its updates; the policy's `Destination` makes the decisions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DestinationState(ABC):
-    """Dropped when it has neither endpoints nor messages."""
+    """The state of one destination; removed when the destination has neither endpoints nor messages."""
 
     def __init__(self, state: SenderState, number: int, queues: WaitingQueues) -> None:
         self.state = state
@@ -22,53 +22,56 @@
         self.queues = queues
         self.gate = self.new_gate("")
         self.known_endpoints: dict[str, Endpoint] = {}
-        """Those listed, and removed ones until they are forgotten."""
+        """Active endpoints, and all others until `forget_endpoints` deletes them."""
         self.endpoints: list[Endpoint] = []
-        """Those listed, in ranked order."""
+        """Active endpoints that are not detached, in ranked order."""
         self.kind = 0
         self.limit_per_endpoint = False
-        """Endpoints are separate routes, each with a gate of its own."""
+        """Each endpoint is a separate route with its own gate."""
         self.max_batch_size = 1
         self.unfinished_messages = 0
         self.dispatch_at = 0
-        """When the latest timer to dispatch is due."""
+        """The due time of the dispatch timer that was scheduled last."""
         state.needs_ranking[self] = None
 
     @abstractmethod
     def new_gate(self, route: str) -> GateState:
-        """A gate for all of the destination, or for one route."""
+        """Returns a gate for the entire destination (`route` is empty) or for one route."""
 
     @abstractmethod
     def rank(self) -> None:
-        """Puts `endpoints` in order."""
+        """Sorts `endpoints` by preference."""
 
     @abstractmethod
     def dispatch(self) -> None:
-        """Starts attempts, as long as gates are open and messages wait."""
+        """Starts attempts while gates are open and messages wait."""
 
     def gates(self) -> list[GateState]:
-        """One of each route, where endpoints are separate routes."""
+        """Returns the gate of each route if endpoints are separate routes, else the destination's gate."""
         return [endpoint.gate for endpoint in self.endpoints] if self.limit_per_endpoint else [self.gate]
 
     def opens_in(self, *, only_retry_after: bool = False) -> int:
-        """The time until the first gate may open, as far as it is known, or as destinations asked for."""
+        """Returns the microseconds until the first gate may open; 0 if one is open or the time is not known.
+
+        `only_retry_after`: considers only Retry-After.
+        """
         now = self.state.now
         opens = (g.retry_after_until if only_retry_after else g.opens_at(now) or 0 for g in self.gates())
         return min((max(0, at - now) for at in opens), default=0)
 
     def delivery_rate(self) -> float:
-        """Deliveries a second, over all gates."""
+        """Returns deliveries per second, over all gates."""
         return sum(gate.outage.completions.rate() for gate in self.gates())
 
     def update_endpoint(self, row: EndpointRecord) -> None:
-        """A row of the endpoint list, or a change of one."""
+        """Applies a row of the endpoint list, or a change to one."""
         state = self.state
         kind = state.settings.destination_kinds[row.kind]
         self.kind = row.kind
         self.limit_per_endpoint = kind.limit_per_endpoint
         self.max_batch_size = kind.max_batch_size
         before = self.known_endpoints.get(row.endpoint_id)
-        if before is None or (before.gate is self.gate) == self.limit_per_endpoint:  # new, or kinds changed
+        if before is None or (before.gate is self.gate) == self.limit_per_endpoint:  # new, or kind changed
             self.known_endpoints[row.endpoint_id] = self._new_endpoint(row, before)
         endpoint = self.known_endpoints[row.endpoint_id]
         endpoint.gate.apply_listed_rate(row.listed_rate)
@@ -85,7 +88,10 @@
         return Endpoint(endpoint_id=row.endpoint_id, zone=row.zone, gate=gate, tie_break=draw)
 
     def forget_endpoints(self, unused_us: int) -> None:
-        """Guards against endpoints that are replaced under new ids all day: those unused for so long."""
+        """Deletes inactive endpoints without a call for `unused_us` microseconds whose Retry-After is over.
+
+        Otherwise memory use would grow without bound where endpoints are replaced under new ids all day.
+        """
         now = self.state.now
         unused = (
             e for e in self.known_endpoints.values() if not e.in_flight and e.last_call_at + unused_us <= now
@@ -94,12 +100,12 @@
             del self.known_endpoints[endpoint.endpoint_id]
 
     def schedule_dispatch(self, at: int) -> None:
-        """Dispatches again at that time, if not before."""
+        """Schedules a dispatch at time `at`, unless an earlier one is pending."""
         if not self.state.now < self.dispatch_at <= at:
             self.dispatch_at = at
             self.state.actions.schedule_timer(at, destination_timer(self.number))
 
     def snapshot(self, max_gates: int | None = None) -> DestinationSnapshot:
-        """How it stands; a destination may have thousands of routes."""
+        """Returns a snapshot with at most `max_gates` gates: a destination may have thousands of routes."""
         gates = tuple(gate.snapshot() for gate in self.gates()[:max_gates])
         return DestinationSnapshot(self.number, len(self.endpoints), self.unfinished_messages, gates)
--- a/ashpath/core/errors.py
+++ b/ashpath/core/errors.py
@@ -1,8 +1,8 @@
-"""What the packages below the adapters raise."""
+"""Errors that the settings and the policy raise."""
 
 
 class InvalidSettingError(ValueError):
-    """A setting that cannot be used."""
+    """A setting has an invalid type or value."""
 
     def __init__(self, key: str, problem: str) -> None:
         super().__init__(key, problem)
@@ -14,7 +14,7 @@
 
 
 class InvalidTransitionError(Exception):
-    """A message was to change to a state that does not follow its present one: a fault of the program."""
+    """A transition that the table of message states does not allow: a bug in the program."""
 
     def __init__(self, before: object, after: object) -> None:
         super().__init__(f"{before} to {after}")
--- a/ashpath/core/gate_state.py
+++ b/ashpath/core/gate_state.py
@@ -1,4 +1,4 @@
-"""The state of a gate and its bookkeeping; the policy's `Gate` decides on it."""
+"""The state of a gate, and its updates; the policy's `Gate` makes the decisions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class GateState(ABC):
-    """The gate of a destination, or of one route where endpoints are separate routes."""
+    """The gate of a destination, or of one route if endpoints are separate routes."""
 
     def __init__(
         self,
@@ -29,49 +29,49 @@
         self.state = state
         self.destination = destination
         self.route = route
-        """The endpoint; empty: the gate is the destination's."""
+        """The endpoint id; empty: the gate belongs to the entire destination."""
         self.rate_limit = rate_limit
         self.outage = outage
         self.limit = 1
-        """Calls in flight at once; 0: the breaker is not closed."""
+        """The concurrency limit; 0 while the circuit breaker is not closed."""
         self.in_flight = 0
         self.fast_successes = 0
-        """Since the limit changed."""
+        """Fast successes since the last change of `limit`."""
         self.never_failed = True
         self.decreased_at = -1
         self.reservations: deque[int] = deque()
-        """When the places of timed-out calls are free again, in order; emptied as they pass."""
+        """Expiry times of the places reserved for timed-out calls, in order; expired ones are removed."""
         self.breaker = BreakerState.CLOSED
         self.reopened = 0
-        """Times in a row."""
+        """The number of consecutive failed trial requests."""
         self.open_until = 0
         self.retry_after_until = 0
-        """The destination asked for nothing before."""
+        """The latest end of any Retry-After received."""
         self.local_faults = 0
-        """Faults of this machine, in a row."""
+        """Consecutive local faults."""
         self.local_pause_until = 0
-        """No call goes through before, as this machine has something too little of."""
+        """The end of the pause after a local fault, such as a lack of file descriptors."""
         self.error_share = error_share
-        """Errors and resets, of late answers."""
+        """The share of errors and connection resets among recent outcomes."""
 
     @abstractmethod
     def opens_at(self, now: int) -> int | None:
-        """None if a call may go now, else the time to check again (0: an outcome will tell)."""
+        """Returns None if a call may start now, else the time to check again (0: after the next outcome)."""
 
     @abstractmethod
     def apply_outcome(self, attempt: Attempt, outcome: AttemptOutcome, duration: int) -> None:
-        """Learns from a call's one outcome."""
+        """Updates the gate with the outcome of a call, once per call. `duration` is in microseconds."""
 
     @abstractmethod
     def apply_listed_rate(self, rate: float) -> None:
-        """The endpoint list has a rate; 0: none."""
+        """Applies the listed rate, in calls per second; 0: the endpoint list has none."""
 
     @abstractmethod
     def recovery_reported(self) -> None:
-        """Another sender delivered after an outage."""
+        """Handles a gossip message: another sender has delivered after an outage."""
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """Takes the call's place and tokens."""
+        """Counts the call as in flight, and takes its tokens."""
         endpoint = attempt.endpoint
         now = self.state.now
         attempt.expected_fast_successes = endpoint.fast_successes + endpoint.in_flight
@@ -85,26 +85,26 @@
         self.rate_limit.bucket.tokens -= 1
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Gives the call's place back."""
+        """Stops counting the call as in flight."""
         self.in_flight -= 1
         attempt.endpoint.in_flight -= 1
         del self.state.attempts_in_flight[attempt]
 
     def expire_reservations(self, now: int) -> None:
-        """Those that are over."""
+        """Removes reservations whose expiry time has passed."""
         reservations = self.reservations
         while reservations and reservations[0] <= now:
             reservations.popleft()
 
     def inherit_from(self, other: GateState) -> None:
-        """Takes over the waits and outage of the gate in whose place this one comes."""
+        """Takes over Retry-After and outage from the gate that this one replaces."""
         self.retry_after_until = max(self.retry_after_until, other.retry_after_until)
         outage = self.outage
         outage.down = outage.down or other.outage.down
         outage.recovering_since = max(outage.recovering_since, other.outage.recovering_since)
 
     def report_mode_change(self, text: str) -> None:
-        """Reports a change of mode."""
+        """Reports a change of mode to the adapter, with the text of the change."""
         place = f"route {self.route}" if self.route else f"destination {self.destination}"
         rate = self.outage.completions.rate()
         self.state.actions.mode_changed(
@@ -112,7 +112,7 @@
         )
 
     def snapshot(self) -> GateSnapshot:
-        """How it stands."""
+        """Returns a read-only copy of the gate's state."""
         return GateSnapshot(
             route=self.route,
             concurrency_limit=self.limit,
--- a/ashpath/core/gossip_messages.py
+++ b/ashpath/core/gossip_messages.py
@@ -1,4 +1,4 @@
-"""What senders gossip to one another, as bytes: `back DESTINATION ENDPOINT`."""
+"""Gossip messages between senders; encoded as `back DESTINATION ENDPOINT`."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class EndpointRecovered(NamedTuple):
-    """The first delivery after an outage was made at this endpoint."""
+    """This endpoint accepted the first delivery after an outage."""
 
     destination: int
     endpoint_id: str
 
     def encode(self) -> bytes:
-        """The bytes for other senders.
+        """Returns the encoded message.
 
         >>> EndpointRecovered(7, "x1").encode()
         b'back 7 x1'
@@ -21,7 +21,7 @@
 
     @staticmethod
     def decode(message: bytes) -> EndpointRecovered | None:
-        """None if it is no such message; anything may come.
+        """Returns the decoded message, or None for any other input; the input may be malformed.
 
         >>> EndpointRecovered.decode(b"back 7 x1")
         EndpointRecovered(destination=7, endpoint_id='x1')
--- a/ashpath/core/interface.py
+++ b/ashpath/core/interface.py
@@ -1,7 +1,7 @@
-"""The policy's interface: what its adapters report to it, and the actions they carry out for it.
+"""The policy's interface: the data that adapters pass to the policy, and the actions they perform for it.
 
-Nothing here knows a wire format. Times are whole microseconds of a monotonic clock; ids are opaque and come
-back unchanged. `wire_names.py` of each adapter maps these names to those of its wire.
+The interface is independent of any wire format. Times are integer microseconds of a monotonic clock; ids are
+opaque and are returned unchanged. Each adapter's `wire_names.py` maps these names to those of its wire.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RetrySafety(Enum):
-    """What a second run of a message would do."""
+    """Whether the destination may run a message more than once."""
 
     IDEMPOTENT = "free to run again"
     DEDUPLICATED = "a repeat is recognised for a while"
@@ -21,7 +21,7 @@
 
 
 class EndpointStatus(Enum):
-    """What service discovery says of an endpoint; it says nothing of its health."""
+    """The status of an endpoint in service discovery, which is independent of its health."""
 
     ACTIVE = "listed"
     DRAINING = "draining"
@@ -29,18 +29,18 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended."""
+    """The result of an attempt."""
 
     DELIVERED = "completed"
     ERROR = "error"
     OVERLOADED = "full"
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "no connection"
-    CONNECTION_TABLE_FULL = "crowded"  # rejected together with its new connection
+    CONNECTION_TABLE_FULL = "crowded"  # the endpoint rejected the new connection along with the request
     CONNECTION_RESET = "reset"
     CANCELLED = "withdrawn"
     NOT_SENT = "unsent"
-    LOCAL_FAULT = "local fault"  # this machine had no descriptor, buffer, address or route for it
+    LOCAL_FAULT = "local fault"  # no file descriptor, buffer, address or route on this machine
 
 
 NEVER_RAN = (
@@ -50,88 +50,88 @@
     AttemptOutcome.NOT_SENT,
     AttemptOutcome.LOCAL_FAULT,
 )
-"""Outcomes that prove that the attempt had no effect."""
+"""Outcomes after which the destination is certain not to have run the message."""
 
 
 class TrafficClassSettings(Struct, frozen=True):
-    """One class of messages, as its operator wants it."""
+    """The operator's settings for one traffic class."""
 
     value: float
-    """What a delivery counts beside other classes."""
+    """The value of a timely delivery, relative to other classes."""
     latency_objective: int
-    """Microseconds from submission; a later delivery is worth less."""
+    """Microseconds from submission; a later delivery has a lower value."""
     deadline: int
-    """Microseconds from submission; a later delivery is worth nothing."""
+    """Microseconds from submission; a later delivery has no value."""
     retry_safety: RetrySafety
     deduplication_window: int
-    """DEDUPLICATED: microseconds from the first attempt that may have run in which a repeat is recognised."""
+    """DEDUPLICATED: duplicates are detected for this many microseconds from the first possible run."""
     deduplicates_across_zones: bool
-    """DEDUPLICATED: every endpoint of the destination recognises a repeat, not only those of one zone."""
+    """DEDUPLICATED: all endpoints of the destination detect a duplicate, not only those in the same zone."""
     late_value_share: float
-    """The share of the value that is left at the deadline."""
+    """The fraction of the value that remains at the deadline."""
     ordered: bool
     """Messages with the same ordering key are sent one at a time."""
 
 
 class DestinationKindSettings(Struct, frozen=True):
-    """One kind of destination."""
+    """Settings of one kind of destination."""
 
     limit_per_endpoint: bool
-    """Each endpoint is a route of its own, with a concurrency limit of its own."""
+    """Each endpoint is a separate route with its own concurrency limit."""
     max_batch_size: int
-    """Messages that may travel as one call."""
+    """The maximum number of messages in one call."""
 
 
 class PolicySettings(Struct, frozen=True):
-    """All that a policy is told at its start, and again when the operators' settings change."""
+    """The policy's settings, passed at its start and again when the operators change their settings."""
 
     seed: int
     sender_index: int
-    """This sender's own number in its fleet, from 0."""
+    """The index of this sender in its fleet, from 0."""
     sender_count: int
     max_in_flight: int
-    """Calls in flight at once, over all destinations."""
+    """The maximum number of concurrent calls, over all destinations."""
     queue_capacity: int
-    """Messages queued or in flight at once."""
+    """The maximum number of messages that are queued or in flight."""
     max_attempts: int
-    """Attempts of one message; 0: bounded by time alone."""
+    """The maximum number of attempts per message; 0: limited only by the deadline."""
     may_cancel: bool
     max_retry_after: int
-    """The longest Retry-After that clients heed, in microseconds; 0: they are given none."""
+    """The longest Retry-After that clients honour, in microseconds; 0: rejections carry no Retry-After."""
     connect_timeout: int
     idle_timeout: int
-    """Far ends close a connection that is idle for so long, in microseconds; 0: not known."""
+    """Microseconds after which endpoints close an idle connection; 0: unknown."""
     reports_full_connection_table: bool
-    """A full connection table ends as CONNECTION_TABLE_FULL: CONNECT_FAILED means an endpoint is down."""
+    """A full connection table gives CONNECTION_TABLE_FULL; CONNECT_FAILED means that the endpoint is down."""
     traffic_classes: tuple[TrafficClassSettings, ...]
     destination_kinds: tuple[DestinationKindSettings, ...]
     value_halves: bool
-    """The value halves with each further latency objective; else it falls evenly up to the deadline."""
+    """The value halves with each further latency objective; otherwise it falls linearly to the deadline."""
     drain_grace: int
-    """Microseconds in which calls may still go to an endpoint that is draining."""
+    """Microseconds during which calls may still be sent to a draining endpoint."""
     initial_capacity_share: float
-    """The share of its capacity that a destination has, at least, at the end of an outage."""
+    """The minimum fraction of its capacity that a destination has at the end of an outage."""
     warm_up_time: int
-    """Microseconds from the end of an outage until all of the capacity is back."""
+    """Microseconds from the end of an outage until the destination has its full capacity."""
     overload_multiple: float
-    """Load above this multiple of the capacity brings a warming destination down again; 0: none does."""
+    """Load above this multiple of the capacity causes a new outage during warm-up; 0: no load does."""
     overload_duration: int
-    """Microseconds that the overload must last."""
+    """Microseconds for which the overload must last to cause the outage."""
     settle_time: int
-    """Microseconds between an unresolved attempt and the next message of its ordering key."""
+    """Minimum microseconds between an unresolved attempt and the next message with the same ordering key."""
     poll_interval: int
-    """The endpoint list has to be polled at least so often, in microseconds; 0: it is pushed."""
+    """The maximum interval between polls of the endpoint list, in microseconds; 0: the list is pushed."""
     has_load_reports: bool
     """Responses report the rate limit of their destination."""
     has_listed_rates: bool
-    """The endpoint list has approximate rates."""
+    """The endpoint list contains approximate rates."""
     gossip_enabled: bool
     zone_costs: tuple[float, ...]
-    """By zone, for a message that an endpoint with a limit of its own takes there."""
+    """The cost of a message per zone, for endpoints that have their own concurrency limit."""
 
 
 class EndpointRecord(Struct, frozen=True):
-    """One row of the endpoint list, or one change of it."""
+    """One row of the endpoint list, or one change to the list."""
 
     endpoint_id: str
     destination: int
@@ -139,59 +139,59 @@
     zone: int
     status: EndpointStatus
     listed_rate: float = 0.0
-    """Calls a second that it takes from all senders, where `has_listed_rates`; 0: not listed."""
+    """Calls per second that the endpoint accepts from all senders, if `has_listed_rates`; 0: not listed."""
 
 
 class LoadReport(Struct, frozen=True):
-    """What a response reported of a destination's rate limit: noisy, and a little old."""
+    """A destination's rate limit as reported in a response: noisy and slightly out of date."""
 
     remaining_quota: float
-    """The share of the limit that is left."""
+    """The fraction of the rate limit that is unused."""
     rate_limit: float
-    """Calls a second that all senders together may make."""
+    """Calls per second allowed for all senders together."""
 
 
 class PreviousAttempts(Struct, frozen=True):
-    """What the previous incarnation of this sender did for a message that it has not finished."""
+    """The attempts that the previous incarnation of this sender made for an unfinished message."""
 
     attempts: int
     first_run_at: int | None
-    """When the first attempt that may have run began, on this incarnation's clock."""
+    """The start of the first attempt that may have run, on this incarnation's clock."""
     first_run_endpoint: str
     unresolved: bool
-    """An attempt was in flight as that incarnation ended; it may have run."""
+    """An attempt was in flight when that incarnation ended; the attempt may have run."""
 
 
 class PolicyActions(Protocol):
-    """What an adapter carries out for the policy, in the order of the calls."""
+    """The actions that an adapter performs for the policy, in the order of the calls."""
 
     def start_attempt(self, message_id: int, endpoint_id: str, timeout: int) -> None:
-        """Sends a message to an endpoint; its outcome is due within `timeout` microseconds."""
+        """Sends a message to an endpoint; the attempt times out after `timeout` microseconds."""
 
     def reject(self, message_id: int, retry_after: int) -> None:
-        """Final: not delivered, and harmless to submit again after `retry_after` microseconds."""
+        """Final outcome: not delivered, and safe to submit again after `retry_after` microseconds."""
 
     def fail(self, message_id: int) -> None:
-        """Final: not delivered as far as is known, and not to be submitted again."""
+        """Final outcome: not known to be delivered, and not safe to submit again."""
 
     def cancel_attempt(self, message_id: int, attempt: int) -> None:
-        """Cancels an attempt, by its number from 0; its outcome still comes."""
+        """Cancels the attempt with this number, counted from 0; its outcome is still reported."""
 
     def close_idle_connections(self, endpoint_id: str) -> None:
-        """Closes connections to an endpoint that carry no call."""
+        """Closes the idle connections to an endpoint."""
 
     def schedule_timer(self, at: int, token: str) -> None:
-        """Calls `timer_fired` with the token at that time or later."""
+        """Calls `timer_fired` with `token` at time `at` or later."""
 
     def poll_endpoints(self) -> None:
-        """Asks for the endpoint list; `update_endpoints` or `endpoint_poll_failed` answers."""
+        """Requests the endpoint list; the result arrives by `update_endpoints` or `endpoint_poll_failed`."""
 
     def publish(self, message: bytes) -> None:
-        """Gossips to all other senders, which receive it by `receive_gossip`, or not at all."""
+        """Sends a gossip message to all other senders, which receive it by `receive_gossip` unless lost."""
 
     def mode_changed(self, text: str, destination: int, endpoint_id: str, down: bool, rate: float) -> None:
-        """A change of mode of a destination, or of one route if `endpoint_id` names it.
+        """Reports a mode change of a destination, or of one route if `endpoint_id` is not empty.
 
-        `down`: to this sender it is in an outage, and had `rate` calls a second from it before; the next
-        incarnation is told so, by `restore_outage`.
+        `down`: this sender considers the destination or route to be in an outage. `rate`: deliveries a second
+        before the outage. The next incarnation receives both by `restore_outage`.
         """
--- a/ashpath/core/json_types.py
+++ b/ashpath/core/json_types.py
@@ -1,8 +1,8 @@
-"""What JSON is inside the program, until a module of its format has parsed it."""
+"""The type of JSON objects that have not been validated."""
 
 from __future__ import annotations
 
 from typing import Any
 
 JsonObject = dict[str, Any]
-"""An object as the parser returns it: nothing in it is checked yet."""
+"""An object as the JSON parser returns it; its keys and values are not validated."""
--- a/ashpath/core/lifecycle.py
+++ b/ashpath/core/lifecycle.py
@@ -1,13 +1,13 @@
-"""The life of a message within the policy, from its submission to its final answer.
+"""The states of a message within the policy, from its submission to its final outcome.
 
 | from \\ to | QUEUED | IN_FLIGHT | ABANDONED | FINISHED |
 | --- | --- | --- | --- | --- |
-| QUEUED | - | an attempt starts | - | answered, or its client left |
-| IN_FLIGHT | retried | - | its client left | answered by the outcome |
-| ABANDONED | - | - | - | the outcome came |
+| QUEUED | - | an attempt starts | - | final outcome decided, or client disconnected |
+| IN_FLIGHT | retry queued | - | client disconnected | outcome was final |
+| ABANDONED | - | - | - | outcome received |
 | FINISHED | - | - | - | - |
 
-`transition` makes every change of state; what follows from one is the caller's part.
+`transition` performs every state change; its callers carry out the effects.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 
 class MessageState(Enum):
-    """Where a message stands."""
+    """The state of a message."""
 
     QUEUED = "queued"
-    """It waits for its destination, or behind an earlier message of its ordering key."""
+    """The message waits for its destination, or for an earlier message with the same ordering key."""
     IN_FLIGHT = "in flight"
-    """One attempt is in flight."""
+    """One attempt for the message is in flight."""
     ABANDONED = "abandoned"
-    """Its client disconnected while the attempt is still in flight."""
+    """The client disconnected while an attempt was in flight; its outcome is still awaited."""
     FINISHED = "finished"
-    """It has its final answer, and nothing is in flight."""
+    """The message has its final outcome, and no attempt is in flight."""
 
 
 TRANSITIONS: dict[MessageState, frozenset[MessageState]] = {
@@ -40,13 +40,13 @@
 
 
 class Stateful(Protocol):
-    """What has a state that `transition` may change."""
+    """An object whose state `transition` can change."""
 
     state: MessageState
 
 
 def transition(message: Stateful, state: MessageState) -> None:
-    """Changes the state of a message; raises InvalidTransitionError where the table has no such change."""
+    """Changes the state of a message. Raises InvalidTransitionError if the table does not allow it."""
     if state not in TRANSITIONS[message.state]:
         raise InvalidTransitionError(message.state, state)
     message.state = state
--- a/ashpath/core/messages.py
+++ b/ashpath/core/messages.py
@@ -1,6 +1,6 @@
-"""Messages, attempts and endpoints as the policy keeps them. All times are microseconds of its clock.
+"""The policy's records of messages, attempts and endpoints. All times are microseconds of its clock.
 
-They know nothing of why: the policy decides.
+These types hold data only; the policy makes the decisions.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
     from ashpath.core.gate_state import GateState
 
 DISTANT_PAST_US = -(10**9)
-"""Before anything happened, in microseconds."""
+"""A time before any event, in microseconds."""
 
 
 class TrafficClass(Struct, frozen=True):
-    """A traffic class: its number, and what its operator wants."""
+    """A traffic class: its number and its settings."""
 
     index: int
     settings: TrafficClassSettings
     value_halves: bool
-    """The value halves with each further latency objective; else it falls evenly up to the deadline."""
+    """The value halves with each further latency objective; otherwise it falls linearly to the deadline."""
 
 
 class OrderedQueue(Struct, eq=False):
-    """The messages of one ordering key, in the order accepted; dropped once empty and settled."""
+    """The messages of one ordering key, in the order accepted; removed once empty and settled."""
 
     key: int
     messages: deque[Message] = field(default_factory=deque)
     settles_at: int = 0
-    """Nothing of the key is sent before, as an unresolved attempt may still run."""
+    """No message of the key is sent before this time, as an unresolved attempt may still run."""
 
 
 class FirstRun(Struct, frozen=True):
@@ -44,82 +44,82 @@
 
     started_at: int
     zone: int
-    """-1: not known."""
+    """-1: unknown."""
 
 
 class Endpoint(Struct, eq=False, kw_only=True):
-    """One endpoint, the gate that its calls pass, and how they went."""
+    """One endpoint, the gate that its calls pass, and statistics of its calls."""
 
     endpoint_id: str
     zone: int
     gate: GateState
     tie_break: float
-    """Drawn at random: the order among equals is each sender's own."""
+    """Random, so that senders rank equal endpoints in different orders."""
     in_flight: int = 0
     last_call_at: int = DISTANT_PAST_US
     call_interval: int = 0
-    """Between the starts of the latest two calls."""
+    """Microseconds between the starts of the two latest calls."""
     mean_duration: float = 0.0
-    """Microseconds of its deliveries; 0: none yet."""
+    """The mean duration of deliveries in microseconds; 0: none yet."""
     failure_share: float = 0.0
-    """Of its late calls."""
+    """The share of failures among recent calls."""
     fast_successes: int = 0
 
     def delivered(self, duration: int, *, fast: bool, gain: float) -> None:
-        """A success, which weighs `gain` in the statistics."""
+        """Adds a success to the statistics with weight `gain`; `duration` is in microseconds."""
         mean = self.mean_duration
         self.mean_duration += gain * (duration - mean) if mean else duration
         self.failure_share = (1 - gain) * self.failure_share
         self.fast_successes += fast
 
     def failed(self, *, gain: float) -> None:
-        """A failure, which weighs `gain` in the statistics."""
+        """Adds a failure to the statistics with weight `gain`."""
         self.failure_share += gain * (1 - self.failure_share)
 
 
 class Attempt(Struct, eq=False, kw_only=True):
-    """One call, with one or more messages in it."""
+    """One call, which carries one or more messages."""
 
     endpoint: Endpoint
     started_at: int
     messages: list[Message] = field(default_factory=list)
     timeout: int = 0
-    """One for all messages, so that the call has one outcome."""
+    """One timeout for all messages, so that the call has one outcome."""
     unresolved: int = 0
-    """Messages without an outcome; at none the call is over."""
+    """The number of messages without an outcome; at 0 the call has ended."""
     outcome_applied: bool = False
-    """The gate has had the call's one outcome."""
+    """The gate has been updated with the outcome of the call."""
     duration_bound: int = 0
-    """Nearly all calls take no longer: past this it is overdue."""
+    """Microseconds that nearly all calls stay below; a call that takes longer is overdue."""
     expected_fast_successes: int = 0
-    """The fast successes of its endpoint by the time that all calls then in flight are over."""
+    """The fast successes of the endpoint if all calls in flight at the start of this one succeed fast."""
     is_trial: bool = False
     """The trial request of a half-open circuit breaker."""
     cancelled: bool = False
 
 
 class Message(Struct, eq=False, kw_only=True):
-    """One message, from its submission to its final answer."""
+    """One message, from its submission to its final outcome."""
 
     message_id: int
     destination: DestinationState
     traffic_class: TrafficClass
     deadline_at: int
     objective_at: int
-    """When its latency objective is over."""
+    """The time at which the latency objective expires."""
     state: MessageState = MessageState.QUEUED
     queue: OrderedDict[Message, None] | None = None
-    """In which it waits for a call."""
+    """The queue in which the message waits for a call, or None."""
     ordered_queue: OrderedQueue | None = None
     attempts: int = 0
     attempt: Attempt | None = None
-    """In flight."""
+    """The attempt in flight."""
     first_run: FirstRun | None = None
     restored_untried: bool = False
-    """A restart found it with no attempt made: it is tried while it has time, whatever is expected."""
+    """Restored without an earlier attempt: until its first one, only Retry-After counts as expected wait."""
 
     def value_at(self, when: int) -> float:
-        """What a delivery at that time is worth, by the settings of its traffic class."""
+        """Returns the value of a delivery at time `when`, by the settings of the traffic class."""
         settings = self.traffic_class.settings
         late = when - self.objective_at
         if late <= 0:
--- a/ashpath/core/outage_state.py
+++ b/ashpath/core/outage_state.py
@@ -1,10 +1,10 @@
-"""Whether a destination is down, and what is known of its load.
+"""The outage state of a gate, and the rates of its calls.
 
 | from | event | to |
 | --- | --- | --- |
-| well, recovering | the policy finds an outage | down |
-| down | a delivery, word of one, or an operator puts the endpoint back | recovering |
-| recovering | the warm-up time is over | well |
+| available, recovering | the policy detects an outage | down |
+| down | a delivery, a gossip message about one, or an operator reattaches the endpoint | recovering |
+| recovering | the warm-up time has elapsed | available |
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class OutageState(ABC):
-    """The outage of one gate, and the bucket that calls pass until the destination has warmed up."""
+    """The outage of one gate, and the token bucket that limits calls until the destination has warmed up."""
 
     __slots__ = (
         "completions",
@@ -33,32 +33,32 @@
     def __init__(self, state: SenderState, rate_window_us: int) -> None:
         self.state = state
         self.failures = 0.0
-        """In a row; those that may have other causes count less."""
+        """Consecutive failures, weighted: those that may have causes other than an outage count less."""
         self.succeeded_at = state.now
         self.down = False
         self.recovering_since = -state.settings.warm_up_time
         self.recovery_bucket = TokenBucket()
         self.completions = EventRate(rate_window_us, state.now, state.now)
-        """Deliveries, while well."""
+        """The rate of deliveries while the destination is available."""
         self.submissions = EventRate(rate_window_us, state.now, state.now)
-        """Some of them again after a rejection."""
+        """The rate of submissions, which include messages submitted again after a rejection."""
 
     @abstractmethod
     def restore(self, rate: float) -> None:
-        """Down since a previous incarnation, with that rate before."""
+        """Restores an outage of a previous incarnation; `rate`: deliveries per second before the outage."""
 
     def recover(self) -> None:
-        """From now on it warms up."""
+        """Ends the outage; the destination warms up from now on."""
         self.down = False
         self.recovering_since = self.state.now
         self.recovery_bucket.updated_at = self.state.now
 
     def is_recovering(self, now: int) -> bool:
-        """Down or warming up: a push might bring it down again."""
+        """Whether the destination is down or warming up, so that too much load might cause a new outage."""
         return self.down or now < self.recovering_since + self.state.settings.warm_up_time
 
     def succeeded(self) -> None:
-        """Counts a delivery; while it recovers, the clock of the rate stands still."""
+        """Counts a delivery. Time spent recovering is excluded from the delivery rate."""
         now = self.state.now
         self.failures = 0
         self.succeeded_at = now
--- a/ashpath/core/platform_settings.py
+++ b/ashpath/core/platform_settings.py
@@ -1,9 +1,9 @@
-"""The operators' JSON settings: their shape, their names, and the parser.
+"""The operators' JSON settings: their structure, their names, and the parser.
 
-Every JSON name stands here and nowhere else; a field whose name inside differs from its JSON name says so by
-`field(name=...)`, all others differ by hyphens alone. Times are milliseconds. A key that is null and one that
-is missing mean the same; unknown keys are skipped. `policy_settings.py` converts what is parsed here, and
-`config/platform_form.py` writes the same shape from the sender's own file.
+JSON names are defined only in this module. A field whose Python name differs from its JSON name declares the
+JSON name by `field(name=...)`; all others differ only in hyphens. Times are milliseconds. A null value and a
+missing key mean the same; unknown keys are ignored. `policy_settings.py` converts the parsed settings, and
+`config/platform_form.py` produces the same structure from the sender's own configuration file.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
     "dedup": RetrySafety.DEDUPLICATED,
     "fragile": RetrySafety.AT_MOST_ONCE,
 }
-WHOLE_DESTINATION = "all"  # the deduplication scope that spans zones
+WHOLE_DESTINATION = "all"  # the deduplication scope that includes all zones
 HALVING_DECAY = "halves"
 POLLED_DISCOVERY = "ask"
 APPROXIMATE_RATE_SOURCES = ("rough", "nominal")
 
-# The names of load report fields, and the transport that does not bring them with responses.
+# Field names of load reports, and the transport that does not deliver load reports with responses.
 REMAINING_QUOTA_FIELD = "x0"
 RATE_LIMIT_FIELD = "x1"
 PROBE_TRANSPORT = "probe"
 
-# Lists of names whose positions are ids, and the columns under `specifics` that stand in the same order.
+# Lists of names whose positions are ids, and the columns under `specifics` that have the same order.
 COLUMNS = {"kinds": ("kind-apart", "per-call"), "zones": ("carriage",)}
 
 
 class TrafficClassRow(Struct, kw_only=True, rename="kebab"):
-    """One traffic class. A standalone sender stores its encoding, so every key is written, in this order."""
+    """One traffic class. A standalone sender stores the encoded row: all keys are written, in this order."""
 
     name: str | None = None
     deadline: int | float
@@ -53,7 +53,7 @@
 
 
 class PlatformLimits(Struct, rename="kebab", omit_defaults=True):
-    """What the sender may do."""
+    """Limits on the sender, and the features that it may use."""
 
     queue_capacity: Number = field(default=None, name="max-open")
     max_attempts: Number = None
@@ -66,7 +66,7 @@
 
 
 class DestinationContract(Struct, rename="kebab", omit_defaults=True):
-    """What destinations promise, and how much of a load they bear after an outage."""
+    """Guarantees of the destinations, and the load that they tolerate after an outage."""
 
     drain_grace: Number = None
     initial_capacity_share: Number = field(default=None, name="cold-from")
@@ -78,7 +78,7 @@
 
 
 class Specifics(Struct, rename="kebab", omit_defaults=True):
-    """What this installation has of its own; columns stand in the order of `kinds` or `zones`."""
+    """Settings of this installation; columns have the order of `kinds` or `zones`."""
 
     max_in_flight: Number = field(default=None, name="slots")
     limit_per_endpoint: list[bool | None] | None = field(default=None, name="kind-apart")
@@ -88,14 +88,14 @@
 
 
 class LoadInfo(Struct, rename="kebab", omit_defaults=True):
-    """How load reports arrive, and the names of their fields in order."""
+    """The transport of load reports, and the names of their fields in order."""
 
     transport: str | None = field(default=None, name="how")
     fields: list[str] | None = None
 
 
 class PlatformSettings(Struct, rename="kebab", omit_defaults=True):
-    """The settings that are read."""
+    """The settings document; keys that the sender does not use are not declared."""
 
     traffic_classes: list[TrafficClassRow] = field(name="classes")
     sender_index: Number = field(default=None, name="rank")
@@ -111,14 +111,14 @@
 
 
 class LoadReportFields(NamedTuple):
-    """The positions of two values in a response's load report."""
+    """The positions of the values in the load report of a response."""
 
     remaining_quota: int
     rate_limit: int
 
 
 def parse_settings(settings: JsonObject) -> PlatformSettings:
-    """Raises InvalidSettingError, which names the key, where a setting has a wrong type.
+    """Parses the settings. Raises InvalidSettingError with the key if a setting has the wrong type.
 
     >>> parse_settings({"classes": [], "limits": {"max-open": None, "later": "x"}}).limits.queue_capacity
     >>> parse_settings({"classes": [], "limits": {"max-open": []}})  # doctest: +ELLIPSIS
@@ -134,7 +134,7 @@
 
 
 def load_report_fields(settings: JsonObject) -> LoadReportFields | None:
-    """Where a response's load report has the remaining quota and the rate limit; None if none has them.
+    """Returns the positions of the values in load reports; None if responses do not carry both values.
 
     >>> load_report_fields({"load-info": {"fields": ["qps", "x1", "x0"]}, "classes": []})
     LoadReportFields(remaining_quota=2, rate_limit=1)
@@ -144,7 +144,7 @@
 
 
 def find_load_report_fields(load_info: LoadInfo | None) -> LoadReportFields | None:
-    """The same of settings that are parsed."""
+    """Same as `load_report_fields`, for parsed settings."""
     if load_info is None or load_info.transport == PROBE_TRANSPORT:
         return None
     fields = load_info.fields or []
--- a/ashpath/core/policy_engine.py
+++ b/ashpath/core/policy_engine.py
@@ -1,7 +1,8 @@
-"""Takes events in and keeps the books: which message waits where, which endpoint is listed, what is due.
+"""Processes events and updates the policy's state: queued messages, listed endpoints, timers.
 
-It decides nothing. `DeliveryPolicy` fills in what is abstract here, and adds the outcome of attempts. A batch
-is `begin_batch`, events, `end_batch`; all events of a batch happen at one time, in microseconds.
+The engine makes no decisions. `DeliveryPolicy` implements its abstract methods, and processes the outcomes of
+attempts. A batch consists of `begin_batch`, events and `end_batch`; all of its events have the same time, in
+microseconds.
 """
 
 from __future__ import annotations
@@ -19,38 +20,38 @@
 
 
 class PolicyEngine(SenderState, ABC):
-    """The books of one sender, and its events but for the outcomes of attempts."""
+    """The state of one sender, and handlers for all events except outcomes of attempts."""
 
     @abstractmethod
     def new_destination(self, number: int) -> DestinationState:
-        """A destination that was not known before."""
+        """Creates the state of a destination seen for the first time."""
 
     @abstractmethod
     def enforce_queue_capacity(self) -> None:
-        """A message was submitted, and some are late: one of these may have to give way."""
+        """Gives up a late message if the queue is nearly full; called on submission if messages are late."""
 
     @abstractmethod
     def re_evaluate(self, message: Message) -> None:
-        """Whether it still waits for a call, and how."""
+        """Decides whether the message still waits for a call, and in which queue."""
 
     @abstractmethod
     def re_evaluation_time(self, message: Message) -> int:
-        """When to re-evaluate a message that waits."""
+        """Returns the time at which to re-evaluate a waiting message."""
 
     @abstractmethod
     def rank(self) -> None:
-        """The ranking is due."""
+        """Ranks endpoints; called when the ranking timer fires."""
 
     @abstractmethod
     def poll(self) -> None:
-        """The endpoint list may have to be polled."""
+        """Polls the endpoint list if necessary; called when the poll timer fires."""
 
     # Messages.
 
     def submit(
         self, message_id: int, number: int, traffic_class: int, key: int | None, time_left: int
     ) -> None:
-        """A message that has `time_left` microseconds to its deadline; `key` is its ordering key."""
+        """Accepts a message with `time_left` microseconds to its deadline; `key` is the ordering key."""
         destination = self.destination(number)
         self.submissions.add(self.now)
         gates = destination.gates()
@@ -70,10 +71,10 @@
         time_left: int,
         previous: PreviousAttempts,
     ) -> None:
-        """A message of the previous incarnation. What may have run counts; waits and statistics are gone."""
+        """Restores a message of the previous incarnation with its attempts; waits and statistics are lost."""
         destination = self.destination(number)
         self.submissions.add(self.now, 0.0)
-        # It never has more time than when it was accepted, whatever clock told the time meanwhile.
+        # The message never has more time than when it was accepted, whatever clock measured the restart.
         time_left = min(time_left, self.traffic_classes[traffic_class].settings.deadline)
         message = self._new_message(message_id, destination, traffic_class, time_left)
         self._enqueue_new(message, key)
@@ -87,7 +88,7 @@
         self.re_evaluate(message)
 
     def client_disconnected(self, message_id: int) -> None:
-        """Nobody wants the message any more."""
+        """Finishes a queued message; abandons a message in flight until its outcome arrives."""
         message = self.messages.get(message_id)
         if message is None:
             return
@@ -123,17 +124,17 @@
             self.enqueue(message)
 
     def enqueue(self, message: Message, *, first: bool = False) -> None:
-        """It waits for a call of its destination."""
+        """Queues the message for its destination, as the first or last message of its queue."""
         message.destination.queues.add(message, first=first)
         self.needs_dispatch[message.destination] = None
         self.schedule_re_evaluation(message)
 
     def schedule_re_evaluation(self, message: Message) -> None:
-        """Re-evaluates a message when the policy says."""
+        """Schedules the timer at which the policy re-evaluates the message."""
         self.actions.schedule_timer(self.re_evaluation_time(message), message_timer(message.message_id))
 
     def finish(self, message: Message) -> None:
-        """Its books are closed."""
+        """Marks the message as finished and removes it; advances its ordered queue."""
         transition(message, MessageState.FINISHED)
         message.destination.queues.remove(message)
         del self.messages[message.message_id]
@@ -143,7 +144,7 @@
             self.advance(message.ordered_queue)
 
     def advance(self, ordered_queue: OrderedQueue) -> None:
-        """The first message of an ordering key waits for a call, once the key has settled."""
+        """Queues the first message of the ordering key once the key has settled; removes an empty queue."""
         if ordered_queue.settles_at > self.now:
             self.actions.schedule_timer(ordered_queue.settles_at, ordered_queue_timer(ordered_queue.key))
         elif not ordered_queue.messages:
@@ -156,19 +157,19 @@
     # Destinations.
 
     def destination(self, number: int) -> DestinationState:
-        """The destination of that number, known from now on."""
+        """Returns the state of the destination, which is created if missing."""
         found = self.destinations.get(number)
         if found is None:
             found = self.destinations[number] = self.new_destination(number)
         return found
 
     def destination_changed(self, destination: DestinationState) -> None:
-        """It may have to send, and its endpoints another order."""
+        """Marks the destination for dispatch and ranking."""
         self.needs_dispatch[destination] = None
         self.needs_ranking[destination] = None
 
     def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
-        """The whole endpoint list, or changes of it."""
+        """Applies the complete endpoint list, or changes to it."""
         self.failed_polls = 0
         for destination in self.destinations.values() if complete else ():
             destination.endpoints = []
@@ -179,7 +180,7 @@
             self.destination_changed(destination)
 
     def set_detached(self, endpoint_id: str, detached: bool, row: EndpointRecord | None = None) -> None:
-        """An operator takes an endpoint out: it drains until put back, then warms up, listed as in `row`."""
+        """Detaches an endpoint, which then drains, or reattaches it as listed in `row`; it then warms up."""
         (self.detached.add if detached else self.detached.discard)(endpoint_id)
         if not detached and row is not None:
             self.update_endpoints([row], complete=False)
@@ -188,12 +189,12 @@
                 continue
             if detached:
                 destination.endpoints = [e for e in destination.endpoints if e.endpoint_id != endpoint_id]
-            else:  # guards a restarted endpoint against the sum of all senders at once
+            else:  # warm-up: the combined load of all senders might overload a restarted endpoint
                 destination.known_endpoints[endpoint_id].gate.outage.recover()
             self.destination_changed(destination)
 
     def receive_gossip(self, message: bytes) -> None:
-        """It may be late, of an endpoint not known here, or no message at all."""
+        """Handles a gossip message, which may be late. Malformed ones and unknown endpoints are ignored."""
         recovered = EndpointRecovered.decode(message)
         destination = self.destinations.get(recovered.destination) if recovered else None
         if recovered and destination and recovered.endpoint_id in destination.known_endpoints:
@@ -201,17 +202,17 @@
             self.needs_dispatch[destination] = None
 
     def retry_after_received(self, number: int, endpoint_id: str, until: int) -> None:
-        """The other process of this sender was told a Retry-After."""
+        """Applies a Retry-After that the other process of this sender received."""
         for gate in self._gates(number, endpoint_id):
             gate.retry_after_until = max(gate.retry_after_until, until)
 
     def restore_outage(self, number: int, endpoint_id: str, rate: float) -> None:
-        """The previous incarnation knew of an outage, and of that rate before it."""
+        """Restores an outage of the previous incarnation; `rate`: deliveries per second before the outage."""
         for gate in self._gates(number, endpoint_id):
             gate.outage.restore(rate)
 
     def _gates(self, number: int, endpoint_id: str) -> list[GateState]:
-        # All routes where the endpoint is not known.
+        # Returns all gates of the destination if the endpoint is unknown.
         destination = self.destination(number)
         self.destination_changed(destination)
         known = destination.known_endpoints.get(endpoint_id)
@@ -220,11 +221,11 @@
     # Time.
 
     def begin_batch(self, now: int) -> None:
-        """The time of all events until `end_batch`."""
+        """Sets the time of all events until `end_batch`, in microseconds."""
         self.now = now
 
     def timer_fired(self, token: str) -> None:
-        """A timer is due that `schedule_timer` asked for."""
+        """Handles a timer that was requested by `schedule_timer`."""
         timer = Timer.decode(token)
         if timer is None:
             return
--- a/ashpath/core/policy_settings.py
+++ b/ashpath/core/policy_settings.py
@@ -1,6 +1,6 @@
-"""Converts the operators' JSON settings to the policy's: one place for the bench adapter and for the sender.
+"""Converts the operators' JSON settings to `PolicySettings`, for both the bench adapter and the sender.
 
-What is missing or null counts as not asked for. Milliseconds become whole microseconds.
+A missing or null setting means that the feature is not requested. Milliseconds are rounded to microseconds.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def policy_settings(seed: int, settings: JsonObject) -> PolicySettings:
-    """The policy's settings as the bench adapter uses them. Raises InvalidSettingError."""
+    """Returns the policy's settings for the bench adapter. Raises InvalidSettingError."""
     parsed = parse_settings(settings)
     limits = parsed.limits or PlatformLimits()
     contract = parsed.contract or DestinationContract()
@@ -63,10 +63,10 @@
 
 
 def sender_settings(seed: int, settings: JsonObject) -> PolicySettings:
-    """The policy's settings as the sender on sockets uses them.
+    """Returns the policy's settings for the sender on sockets. Raises InvalidSettingError.
 
-    There a call carries one message, a response reveals a full connection table, and the discovery client
-    polls by itself. Raises InvalidSettingError.
+    In that sender a call carries one message, responses reveal a full connection table, and the discovery
+    client polls without the policy.
     """
     converted = policy_settings(seed, settings)
     kinds = tuple(replace(kind, max_batch_size=1) for kind in converted.destination_kinds)
@@ -74,7 +74,7 @@
 
 
 def traffic_class_settings(row: TrafficClassRow) -> TrafficClassSettings:
-    """One traffic class."""
+    """Converts one row of traffic class settings."""
     return TrafficClassSettings(
         value=1.0 if row.value is None else float(row.value),
         latency_objective=microseconds(row.latency_objective or row.deadline),
@@ -90,7 +90,7 @@
 def destination_kind_settings(
     settings: PlatformSettings, specifics: Specifics
 ) -> tuple[DestinationKindSettings, ...]:
-    """One row a kind, by its id; a column that is too short has its default from there on."""
+    """Returns one row per kind, in the order of ids; a short column is filled with its default."""
     per_endpoint = specifics.limit_per_endpoint or []
     batch_sizes = specifics.max_batch_size or []
     count = max(len(settings.destination_kinds or []), len(per_endpoint), len(batch_sizes), 1)
--- a/ashpath/core/rate_limit_state.py
+++ b/ashpath/core/rate_limit_state.py
@@ -1,4 +1,4 @@
-"""What is known of a rate limit."""
+"""The state of a rate limit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RateLimitState(ABC):
-    """The rate limit of one gate, in calls a second, and what responses reported of the destination's."""
+    """The rate limit of one gate, and the destination's limit as reported in responses (calls per second)."""
 
     __slots__ = (
         "bucket",
@@ -29,25 +29,25 @@
         self.bucket = TokenBucket()
         self.decreased_at = state.now
         self.rejected_at = DISTANT_PAST_US
-        """The latest refusal where responses report no limit."""
+        """The time of the latest rejection, where responses report no limit."""
         self.rate = 0.0
-        """0: not paced."""
+        """The limit of this gate in calls per second; 0: not limited."""
         self.reported_limit = 0.0
-        """Of all senders together: noisy, old; or what stands in for it."""
+        """The limit of all senders together: noisy and delayed; a substitute where responses report none."""
         self.reported_at = 0
         self.remaining_quota = 1.0
 
     @abstractmethod
     def update(self, report: LoadReport) -> None:
-        """Follows what a response reported."""
+        """Updates the limits from the load report of a response."""
 
     def reset(self) -> None:
-        """Forgets what was reported: from now on it comes in another way."""
+        """Resets the reported values, because the source of load information has changed."""
         self.rate = 0.0
         self.reported_limit = 0.0
         self.reported_at = 0
         self.remaining_quota = 1.0
 
     def even_split(self) -> float:
-        """This sender's part of the reported limit, if all senders had the same."""
+        """Returns an equal share of the reported limit for each sender, in calls per second."""
         return self.reported_limit / self.state.settings.sender_count
--- a/ashpath/core/sender_state.py
+++ b/ashpath/core/sender_state.py
@@ -1,4 +1,4 @@
-"""What all destinations of one sender share."""
+"""The state that all destinations of one sender share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SenderState:
-    """Settings, the batch's time, what is in flight, and what is to be done by the batch's end."""
+    """Settings, time of the batch, messages, calls in flight, and work due at the end of the batch."""
 
     def __init__(
         self,
@@ -30,33 +30,33 @@
         self.actions = actions
         self.random = Random(settings.seed)
         self.now = 0
-        """Microseconds, of the batch."""
+        """The time of the batch, in microseconds."""
         self.initial_rate = initial_rate
-        """Calls a second where a destination's rate limit is not known yet."""
+        """Calls per second to a destination whose rate limit is not known yet."""
         self.durations = durations
-        """Microseconds of deliveries, over all destinations."""
+        """The durations of deliveries in microseconds, over all destinations."""
         self.submissions = submissions
-        """Over all destinations."""
+        """The rate of submissions, over all destinations."""
         self.limit_cap = 1
-        """The most that a concurrency limit grows to."""
+        """The maximum of all concurrency limits."""
         self.full_table_shares: list[float] = []
-        """The share of calls that found a full connection table, by kind of destination."""
+        """The share of calls rejected by a full connection table, by kind of destination."""
         self.traffic_classes: list[TrafficClass] = []
         self.messages: dict[int, Message] = {}
-        """By number; emptied as they are finished."""
+        """Unfinished messages by id."""
         self.ordered_queues: dict[int, OrderedQueue] = {}
-        """By ordering key; emptied as they run out."""
+        """Queues by ordering key; an empty queue is removed."""
         self.attempts_in_flight: dict[Attempt, None] = {}
-        """Oldest first; emptied by their outcomes."""
+        """Calls in flight, oldest first."""
         self.destinations: dict[int, DestinationState] = {}
-        """Emptied as they lose endpoints and messages."""
+        """Destinations by number, while they have endpoints or messages."""
         self.failed_polls = 0
-        """Of the endpoint list, in a row."""
+        """Consecutive failed polls of the endpoint list."""
         self.detached: set[str] = set()
-        """Endpoints that an operator took out: draining here, whatever is listed."""
+        """Endpoints that an operator detached: treated as draining, whatever their listed status."""
         self.late_messages: OrderedDict[Message, None] = OrderedDict()
-        """Those that wait past their latency objective."""
+        """Waiting messages that can no longer meet their latency objective, oldest entry first."""
         self.needs_dispatch: OrderedDict[DestinationState, None] = OrderedDict()
-        """Looked at in each batch, while not too much is in flight."""
+        """Destinations to dispatch at the end of a batch, until `max_in_flight` calls are in flight."""
         self.needs_ranking: dict[DestinationState, None] = {}
-        """Had events since the last ranking, which empties it."""
+        """Destinations with events since the last ranking."""
--- a/ashpath/core/settings_alignment.py
+++ b/ashpath/core/settings_alignment.py
@@ -1,4 +1,4 @@
-"""Keeps the ids of destination kinds and zones when a running sender gets new settings."""
+"""Keeps the ids of destination kinds and zones stable when a running sender gets new settings."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 
 def align_order(settings: JsonObject, previous: JsonObject) -> JsonObject:
-    """The settings with kinds and zones in the order in which a running sender knows them, new ones behind.
+    """Returns the settings with kinds and zones in the order of `previous`, followed by new ones.
 
-    Guards zone costs and limits against a list in another order: endpoints are known by these ids.
+    Endpoint records refer to kinds and zones by position, so a changed order would assign other endpoints'
+    limits and zone costs to them.
 
     >>> from ashpath.core.policy_settings import sender_settings
     >>> previous = {"kinds": ["a", "b"], "zones": ["x"], "classes": []}
--- a/ashpath/core/snapshots.py
+++ b/ashpath/core/snapshots.py
@@ -1,4 +1,4 @@
-"""How destinations stand, for the status API and the metrics: read-only copies of the policy's state."""
+"""Read-only copies of the policy's state of destinations, for the status API and the metrics."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BreakerState(Enum):
-    """The circuit breaker of a gate; the values are those of the metrics."""
+    """The state of a circuit breaker; the values are those in the metrics."""
 
     CLOSED = 0
     OPEN = 1
@@ -16,28 +16,28 @@
 
 
 class GateSnapshot(Struct, frozen=True):
-    """The gate of a destination, or of one route."""
+    """The state of the gate of a destination or one route."""
 
     route: str
-    """The endpoint, where endpoints are separate routes; else empty."""
+    """The endpoint id if endpoints are separate routes, else empty."""
     concurrency_limit: int
     in_flight: int
     breaker: BreakerState
     rate_limit: float
-    """Calls a second; 0: not paced."""
+    """Calls per second; 0: not limited."""
     delivery_rate: float
-    """Deliveries a second."""
+    """Deliveries per second."""
     down: bool
-    """In an outage, as far as this sender knows."""
+    """This sender considers the destination or route to be in an outage."""
     retry_after_until: int
-    """Nothing is sent before, in microseconds of the policy's clock."""
+    """The latest end of any Retry-After received, in microseconds of the policy's clock."""
 
 
 class DestinationSnapshot(Struct, frozen=True):
-    """One destination."""
+    """The state of one destination."""
 
     number: int
     endpoints: int
-    """Listed and active."""
+    """The number of active endpoints, without detached ones."""
     unfinished_messages: int
     gates: tuple[GateSnapshot, ...]
--- a/ashpath/core/statistics.py
+++ b/ashpath/core/statistics.py
@@ -1,4 +1,4 @@
-"""Running figures of a stream of measurements. Their constants are handed in by the policy."""
+"""Statistics of streams of measurements. The policy supplies their constants."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class RunningStatistics(Struct, eq=False):
-    """Mean and mean absolute deviation, by exponential smoothing after a plain mean of the first values."""
+    """Mean and mean absolute deviation: arithmetic for the first values, then exponentially smoothed."""
 
     min_gain: float
-    """The least weight of a new value; the first ones weigh one part in as many as there were."""
+    """The minimum weight of a new value; the n-th value has weight 1/n if that is larger."""
     count: int = 0
     mean: float = 0.0
     deviation: float = 0.0
 
     def add(self, value: float) -> None:
-        """Takes in one measurement."""
+        """Adds one measurement."""
         self.count += 1
         gain = max(self.min_gain, 1 / self.count)
         error = value - self.mean
@@ -28,10 +28,10 @@
 
 
 class EventRate(Struct, eq=False):
-    """Events a second, over about `window_us`, or since `started_at` where that is shorter.
+    """Events per second, over about `window_us`, or since `started_at` if that is more recent.
 
-    Each event counts less the older it is, by exp(-age / window). Dividing by the part of the window that has
-    been makes the mean unbiased from the first event on. Times are microseconds.
+    An event has weight exp(-age / window). Division by the elapsed part of the window makes the mean unbiased
+    from the first event on. Times are microseconds.
     """
 
     window_us: int
@@ -40,30 +40,30 @@
     total: float = 0.0
 
     def add(self, now: int, weight: float = 1.0) -> None:
-        """Counts one event, or a part of one."""
+        """Counts one event, or a fraction of one."""
         self.total = self.total * exp((self.updated_at - now) / self.window_us) + weight
         self.updated_at = now
 
     def skip(self, now: int) -> None:
-        """The time since the latest event does not count: the clock stands still meanwhile."""
+        """Excludes the time since the latest event from the window."""
         self.started_at += now - self.updated_at
         self.updated_at = now
 
     def rate(self) -> float:
-        """Events a second, as of the latest one."""
+        """Returns events per second as of the latest event."""
         age = max(SECOND, self.updated_at - self.started_at)
         return self.total * SECOND / self.window_us / (1 - exp(-age / self.window_us))
 
     def uncorrected_rate(self) -> float:
-        """The same without the correction for a short life: too low at first."""
+        """Returns `rate` without the correction for a short observation time: too low at first."""
         return self.total * SECOND / self.window_us
 
 
 class DecayingShare(Struct, eq=False):
-    """The share of late events that were counted; each second without one leaves a little less of it."""
+    """The exponentially smoothed share of counted events among all events, which also decays over time."""
 
     gain: float
-    """Weight of one event; a second takes off half of it."""
+    """The weight of one event; each second since the latest `add` multiplies the share by 1 - gain / 2."""
     updated_at: int
     share: float = 0.0
 
@@ -76,5 +76,5 @@
         return self.share
 
     def reduce(self) -> None:
-        """An event of the other kind."""
+        """Lowers the share by an event that is not counted."""
         self.share -= self.gain * self.share
--- a/ashpath/core/time_units.py
+++ b/ashpath/core/time_units.py
@@ -1,10 +1,10 @@
-"""Milliseconds of the settings and the wires, and the whole microseconds that everything inside counts in."""
+"""Conversion between milliseconds, as in settings and on the wire, and integer microseconds elsewhere."""
 
 from __future__ import annotations
 
 
 def microseconds(milliseconds: float | None) -> int:
-    """Whole microseconds; an absent value counts as none.
+    """Returns integer microseconds; 0 for None.
 
     >>> microseconds(8412.25), microseconds(0.0005), microseconds(None)
     (8412250, 0, 0)
@@ -13,7 +13,7 @@
 
 
 def milliseconds(microseconds: int) -> float:
-    """Milliseconds as settings and wires have them.
+    """Returns milliseconds.
 
     >>> milliseconds(8412250)
     8412.25
--- a/ashpath/core/timers.py
+++ b/ashpath/core/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the policy asks for: typed inside, short strings for the adapters, which pass them on."""
+"""The policy's timers, and their encoding as short strings that adapters pass back unchanged."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class TimerKind(Enum):
-    """What is due; the value is the first character of the string."""
+    """The action to take when a timer fires; the value is the first character of the encoded timer."""
 
     RANKING = "r"
-    """Rank the endpoints of all destinations that had events."""
+    """Rank the endpoints of all destinations with events since the last ranking."""
     POLL = "l"
     """Poll the endpoint list."""
     DESTINATION = "d"
@@ -22,14 +22,14 @@
 
 
 class Timer(NamedTuple):
-    """One timer, and what it is for."""
+    """One timer: its kind, and the destination, ordering key or message that it applies to (else 0)."""
 
     kind: TimerKind
     number: int
 
     @staticmethod
     def decode(token: str) -> Timer | None:
-        """What a string stands for; None if it is of no kind known here.
+        """Returns the decoded timer; None if its kind is unknown.
 
         >>> Timer.decode("d7")
         Timer(kind=<TimerKind.DESTINATION: 'd'>, number=7)
@@ -43,7 +43,7 @@
 
 KINDS = {kind.value: kind for kind in TimerKind}
 
-# Plain strings: these are made for each event.
+# Plain strings, as timers are encoded for each event.
 RANKING_TIMER = TimerKind.RANKING.value
 POLL_TIMER = TimerKind.POLL.value
 DESTINATION_PREFIX = TimerKind.DESTINATION.value
@@ -52,7 +52,7 @@
 
 
 def destination_timer(number: int) -> str:
-    """Dispatch to a destination.
+    """Returns the encoded timer for a dispatch to a destination.
 
     >>> destination_timer(7), Timer.decode(destination_timer(7)) == Timer(TimerKind.DESTINATION, 7)
     ('d7', True)
@@ -61,10 +61,10 @@
 
 
 def ordered_queue_timer(key: int) -> str:
-    """Advance an ordered queue."""
+    """Returns the encoded timer to advance an ordered queue."""
     return f"{ORDERED_QUEUE_PREFIX}{key}"
 
 
 def message_timer(message_id: int) -> str:
-    """Re-evaluate a message."""
+    """Returns the encoded timer to re-evaluate a message."""
     return f"{MESSAGE_PREFIX}{message_id}"
--- a/ashpath/core/traffic_class_ids.py
+++ b/ashpath/core/traffic_class_ids.py
@@ -1,4 +1,4 @@
-"""Numbers the traffic classes of the settings, so that stored messages keep the settings they came under."""
+"""Assigns ids to traffic classes such that stored messages keep the settings they were accepted under."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NumberedTrafficClasses(NamedTuple):
-    """Traffic class rows in the order of their ids, and the ids that accept nothing new."""
+    """Traffic class rows in the order of their ids, and the ids that accept no new messages."""
 
     rows: list[JsonObject]
     closed_ids: list[int]
@@ -17,12 +17,12 @@
 def number_traffic_classes(
     listed: list[JsonObject], known: list[JsonObject], live_messages: int
 ) -> NumberedTrafficClasses:
-    """The rows that are `listed` in the settings, by ids that agree with the rows `known` before.
+    """Assigns ids to the rows `listed` in the settings, consistent with the rows `known` before.
 
-    The write-ahead log knows traffic classes by id. While it has live messages, an id keeps the settings
-    under which they were accepted: a class that the settings changed or lack keeps its row, and a changed
-    one gets another row behind. Guards messages against a class that is removed, reordered or made
-    at-most-once under them.
+    The write-ahead log refers to traffic classes by id. While it contains live messages, an id keeps the
+    settings under which they were accepted: a class that was changed or removed keeps its row, and a changed
+    one gets a new row at the end. Otherwise a class that is removed, reordered or made at-most-once would
+    change the treatment of messages that are already accepted.
     """
     if not live_messages:
         return NumberedTrafficClasses(listed, [])
--- a/ashpath/core/waiting_queues.py
+++ b/ashpath/core/waiting_queues.py
@@ -1,4 +1,4 @@
-"""The messages of one destination that wait for a call."""
+"""The messages of one destination that wait for a call, by traffic class."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class WaitingQueues:
-    """Two queues a traffic class, in order of arrival: messages that can make their objective, and late ones.
+    """Two queues per traffic class: messages that can meet their latency objective, and late ones.
 
-    `durations` has the microseconds of the class's deliveries here; a new one weighs `min_gain` at least.
+    Both queues are in order of arrival. `durations` has statistics of the class's deliveries to this
+    destination, in microseconds; `min_gain` is the minimum weight of a new delivery.
     """
 
     def __init__(self, state: SenderState, min_gain: float) -> None:
@@ -24,7 +25,7 @@
         self.add_classes()
 
     def add_classes(self) -> None:
-        """Room for the traffic classes that the settings have now."""
+        """Adds queues and statistics for new traffic classes in the settings."""
         for _ in range(len(self.durations), len(self.state.settings.traffic_classes)):
             self.durations.append(RunningStatistics(self.min_gain))
             self.in_time.append(OrderedDict())
@@ -34,15 +35,15 @@
         return any(self.in_time) or any(self.late)
 
     def count_in_time(self) -> int:
-        """Messages that can still make their objective."""
+        """Returns the number of messages that can still meet their latency objective."""
         return sum(map(len, self.in_time))
 
     def expected_duration(self, traffic_class: TrafficClass) -> int:
-        """Microseconds that a call takes here in the mean; 0: not known."""
+        """Returns the mean duration of a delivery to this destination, in microseconds; 0: unknown."""
         return int(self.durations[traffic_class.index].mean)
 
     def add(self, message: Message, *, first: bool) -> None:
-        """Queues a message, or queues it anew; the first or the last of its queue."""
+        """Queues a message, or requeues it, as the first or last message of its queue."""
         self.remove(message)
         delivered_at = self.state.now + self.expected_duration(message.traffic_class)
         late = delivered_at >= message.objective_at
@@ -54,7 +55,7 @@
             self.state.late_messages[message] = None
 
     def remove(self, message: Message) -> None:
-        """Takes a message out, if it waits here."""
+        """Removes a message if it is queued."""
         self.state.late_messages.pop(message, None)
         if message.queue is not None:
             del message.queue[message]
