--- a/tests/core/test_traffic_class_ids.py
+++ b/tests/core/test_traffic_class_ids.py
@@ -1,4 +1,4 @@
-"""Ids of traffic classes over changes of the settings."""
+"""Ids of traffic classes across changes of the settings."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "known", "live_messages", "rows", "closed"),
+    ("listed", "known", "live_messages", "rows", "closed_ids"),
     [
         ([B, A], [A, B], 0, [B, A], []),
         ([B, A], [A, B], 1, [A, B], []),
@@ -23,11 +23,11 @@
         ([A, B], [A, B, CHANGED_A, C], 1, [A, B, CHANGED_A, C], [2, 3]),
     ],
 )
-def test_a_number_keeps_its_settings_while_messages_are_live(
+def test_id_keeps_its_settings_while_messages_are_live(
     listed: list[JsonObject],
     known: list[JsonObject],
     live_messages: int,
     rows: list[JsonObject],
-    closed: list[int],
+    closed_ids: list[int],
 ) -> None:
-    assert number_traffic_classes(listed, known, live_messages) == (rows, closed)
+    assert number_traffic_classes(listed, known, live_messages) == (rows, closed_ids)
