--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -15,7 +15,7 @@
 
 from ashpath.config.changes import find_changes
 from ashpath.config.loading import Credentials, read_configuration, read_credentials
-from ashpath.config.platform_form import notification_target, platform_form, resolve
+from ashpath.config.platform_form import notification_target, platform_form, resolve_path
 from ashpath.config.schema import Configuration
 from ashpath.core.json_types import JsonObject
 from ashpath.server.addresses import parse_address
@@ -67,7 +67,7 @@
     @property
     def state_directory(self) -> Path:
         """Counted from the file's folder."""
-        return resolve(self.path.parent, self.file.sender.state_directory)
+        return resolve_path(self.path.parent, self.file.sender.state_directory)
 
     def destination_names(self) -> dict[int, str]:
         """Of the destinations that have one."""
@@ -111,7 +111,7 @@
 
     def open_notification_file(self, limits: ServerLimits) -> RotatingFile:
         """Its path is counted from the configuration file's folder."""
-        path = resolve(self.configuration.path.parent, self.configuration.file.notifications.file)
+        path = resolve_path(self.configuration.path.parent, self.configuration.file.notifications.file)
         try:
             return RotatingFile(path, limits.notification_file_bytes, limits.notification_files)
         except OSError as error:
--- a/ashpath/config/changes.py
+++ b/ashpath/config/changes.py
@@ -37,7 +37,7 @@
     """
     before = dict(flatten(old, "", reloadable=False))
     after = dict(flatten(new, "", reloadable=False))
-    fixed = fixed_tables(old, new)
+    fixed = tables_fixed_until_restart(old, new)
     changes = ConfigurationChanges([], [])
     for path in {**before, **after}:
         if before.get(path) == after.get(path):
@@ -48,7 +48,7 @@
     return changes
 
 
-def fixed_tables(old: Configuration, new: Configuration) -> tuple[str, ...]:
+def tables_fixed_until_restart(old: Configuration, new: Configuration) -> tuple[str, ...]:
     """The tables of which a reload applies nothing, as the file changed what stands in for what."""
     fixed: tuple[str, ...] = ()
     if (old.platform is None) != (new.platform is None):
--- a/ashpath/config/constraints.py
+++ b/ashpath/config/constraints.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from ashpath.config.endpoints import endpoint_id, endpoints_of
+from ashpath.config.endpoints import endpoint_id, endpoints_as_tables
 from ashpath.config.faults import MAX_SHOWN_LENGTH, ConfigurationFault, KeyPath
 from ashpath.config.schema import Configuration, Destination, TrafficClass
 from ashpath.config.units import SIZES, TIMES, Duration, format_amount, parse_http_url
@@ -63,13 +63,13 @@
     objective = traffic_class.latency_objective
     window = format_amount(traffic_class.deduplication_window, TIMES)
     if objective is not None and objective > traffic_class.deadline:
-        deadline = f"at most cutoff, {format_amount(traffic_class.deadline, TIMES)}"
-        yield ConfigurationFault((*path, "promised"), format_amount(objective, TIMES), deadline)
+        upper_bound = f"at most cutoff, {format_amount(traffic_class.deadline, TIMES)}"
+        yield ConfigurationFault((*path, "promised"), format_amount(objective, TIMES), upper_bound)
     if traffic_class.retry_safety == "tagged":
         # The last moment to retry is the window's end less the time that a connection may take.
         if traffic_class.deduplication_window <= connect_timeout:
-            least = f"over rules.connect_time, {format_amount(connect_timeout, TIMES)}"
-            yield ConfigurationFault((*path, "window"), window, least)
+            lower_bound = f"over rules.connect_time, {format_amount(connect_timeout, TIMES)}"
+            yield ConfigurationFault((*path, "window"), window, lower_bound)
     elif traffic_class.deduplication_window:
         yield ConfigurationFault((*path, "window"), window, "none: the track is not tagged")
 
@@ -80,8 +80,8 @@
     for number, destination in configuration.destinations.items():
         path = ("destinations", str(number))
         if destination.kind and destination.kind not in configuration.kinds:
-            known = "one of " + ", ".join(configuration.kinds)
-            yield ConfigurationFault((*path, "kind"), repr(destination.kind), known)
+            expected = "one of " + ", ".join(configuration.kinds)
+            yield ConfigurationFault((*path, "kind"), repr(destination.kind), expected)
         yield from endpoint_conflicts(path, number, destination, listed_under)
 
 
@@ -89,15 +89,15 @@
     path: KeyPath, number: int, destination: Destination, listed_under: dict[str, int]
 ) -> Iterator[ConfigurationFault]:
     """The endpoints of one destination; `listed_under` has the destinations of all ids so far."""
-    for at, endpoint in enumerate(endpoints_of(destination)):
+    for index, endpoint in enumerate(endpoints_as_tables(destination)):
         id_ = endpoint_id(number, endpoint)
         if id_ in listed_under:
             yield ConfigurationFault(
-                (*path, "endpoints", at), f"{id_!r}, under {listed_under[id_]} too", "each id once"
+                (*path, "endpoints", index), f"{id_!r}, under {listed_under[id_]} too", "each id once"
             )
         if not id_.isprintable() or len(id_) > MAX_ENDPOINT_ID_LENGTH:
             yield ConfigurationFault(
-                (*path, "endpoints", at, "id"),
+                (*path, "endpoints", index, "id"),
                 ascii(id_)[:MAX_SHOWN_LENGTH],
                 f"{MAX_ENDPOINT_ID_LENGTH} printable characters",
             )
@@ -140,4 +140,4 @@
 
 def has_rate(destination: Destination) -> bool:
     """Whether a rate stands at the destination or at one of its endpoints."""
-    return bool(destination.rate) or any(endpoint.rate for endpoint in endpoints_of(destination))
+    return bool(destination.rate) or any(endpoint.rate for endpoint in endpoints_as_tables(destination))
--- a/ashpath/config/endpoints.py
+++ b/ashpath/config/endpoints.py
@@ -5,9 +5,9 @@
 from ashpath.config.schema import Destination, Endpoint
 
 
-def endpoints_of(destination: Destination) -> list[Endpoint]:
+def endpoints_as_tables(destination: Destination) -> list[Endpoint]:
     """Its endpoints, each as a table."""
-    return [one if isinstance(one, Endpoint) else Endpoint(one) for one in destination.endpoints]
+    return [item if isinstance(item, Endpoint) else Endpoint(item) for item in destination.endpoints]
 
 
 def endpoint_id(number: int, endpoint: Endpoint) -> str:
--- a/ashpath/config/faults.py
+++ b/ashpath/config/faults.py
@@ -43,7 +43,7 @@
     return text if len(text) <= MAX_SHOWN_LENGTH else f"{text[: MAX_SHOWN_LENGTH - 1]}…"
 
 
-def describe(value: object) -> str:
+def describe_value(value: object) -> str:
     """What was found, as one line can hold it."""
     if isinstance(value, dict):
         return "a table"
--- a/ashpath/config/loading.py
+++ b/ashpath/config/loading.py
@@ -22,10 +22,10 @@
 MAX_FILE_BYTES = 64 << 20
 MAX_SECRET_LENGTH = 4096  # characters
 MAX_FAULTS = 200  # that are shown; the rest is counted
-NOT_A_SECRET = "found something else, expected printable ASCII"
+INVALID_SECRET = "found something else, expected printable ASCII"
 TOML_POSITION = re.compile(r" \(at line ([0-9]+), column [0-9]+\)$")
 
-Shape = TypeVar("Shape", bound=msgspec.Struct)
+StructType = TypeVar("StructType", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,26 +40,28 @@
 
 def read_configuration(path: Path) -> Configuration:
     """The configuration of a sender's file. Raises InvalidConfigurationError."""
-    return read_as(path, Configuration, find_conflicts)
+    return read_and_validate(path, Configuration, find_conflicts)
 
 
-def read_as(
-    path: Path, shape: type[Shape], conflicts: Callable[[Shape], Sequence[ConfigurationFault]]
-) -> Shape:
-    """What a file of some shape says; `conflicts` finds what does not go together.
+def read_and_validate(
+    path: Path,
+    struct_type: type[StructType],
+    find_faults: Callable[[StructType], Sequence[ConfigurationFault]],
+) -> StructType:
+    """What a file of some shape says; `find_faults` finds what does not go together.
 
     Raises InvalidConfigurationError.
     """
     data = read_bytes(path)
     document = parse_toml(path, data)
     try:
-        found = validate(shape, document)
+        configuration = validate(struct_type, document)
     except InvalidDocumentError as error:
         raise InvalidConfigurationError(fault_lines(path, data, error.faults)) from error
-    faults = conflicts(found)
+    faults = find_faults(configuration)
     if faults:
         raise InvalidConfigurationError(fault_lines(path, data, faults))
-    return found
+    return configuration
 
 
 def read_document(path: Path) -> dict[str, Any]:
@@ -73,7 +75,7 @@
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except (OSError, ValueError) as error:
-        raise InvalidConfigurationError([f"{path}: {reason(error)}"]) from error
+        raise InvalidConfigurationError([f"{path}: {error_reason(error)}"]) from error
     if len(data) > MAX_FILE_BYTES:
         raise InvalidConfigurationError([f"{path}: longer than {MAX_FILE_BYTES >> 20} MiB"])
     return data
@@ -141,12 +143,12 @@
         problem = f"the environment has no {shorten(secret.env)}"
         raise InvalidConfigurationError([f"{path}: {key}: {problem}"]) from None
     except UnicodeDecodeError:
-        raise InvalidConfigurationError([f"{path}: {key}: {NOT_A_SECRET}"]) from None
+        raise InvalidConfigurationError([f"{path}: {key}: {INVALID_SECRET}"]) from None
     except (OSError, ValueError) as error:
-        problem = f"{shorten(secret.file)}: {reason(error)}"
+        problem = f"{shorten(secret.file)}: {error_reason(error)}"
         raise InvalidConfigurationError([f"{path}: {key}: {problem}"]) from None
     if not 0 < len(text) <= MAX_SECRET_LENGTH or not text.isascii() or not text.isprintable():
-        raise InvalidConfigurationError([f"{path}: {key}: {NOT_A_SECRET}"])
+        raise InvalidConfigurationError([f"{path}: {key}: {INVALID_SECRET}"])
     return text.encode()
 
 
@@ -157,6 +159,6 @@
     return (path.parent / secret.file).read_text("ascii").rstrip("\r\n")
 
 
-def reason(error: Exception) -> str:
+def error_reason(error: Exception) -> str:
     """Why a file cannot be read, without its name."""
     return getattr(error, "strerror", None) or str(error)
--- a/ashpath/config/platform_form.py
+++ b/ashpath/config/platform_form.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ashpath.config.endpoints import endpoint_id, endpoints_of
+from ashpath.config.endpoints import endpoint_id, endpoints_as_tables
 from ashpath.config.schema import Configuration, Rules, TrafficClass
 from ashpath.config.units import SIZES, TIMES, Duration, HttpTarget, Size, format_amount, parse_http_url
 from ashpath.core.interface import RetrySafety
@@ -31,16 +31,16 @@
 )
 from ashpath.core.time_units import milliseconds
 
-FILE_NAMES = {
+FILE_RETRY_SAFETY_NAMES = {
     RetrySafety.IDEMPOTENT: "repeatable",
     RetrySafety.DEDUPLICATED: "tagged",
     RetrySafety.AT_MOST_ONCE: "once-only",
 }
-PLATFORM_NAMES: dict[str, RetrySafetyName] = {
-    FILE_NAMES[retry_safety]: name for name, retry_safety in RETRY_SAFETY.items()
+PLATFORM_RETRY_SAFETY_NAMES: dict[str, RetrySafetyName] = {
+    FILE_RETRY_SAFETY_NAMES[retry_safety]: name for name, retry_safety in RETRY_SAFETY.items()
 }
 NOTIFICATION_PATH = "/v1/notices"  # of a platform
-SECOND = 1_000_000  # microseconds
+MICROSECONDS_PER_SECOND = 1_000_000  # microseconds
 
 
 def platform_form(configuration: Configuration, seed: str) -> JsonObject:
@@ -92,7 +92,7 @@
         name=str(name),
         deadline=milliseconds(traffic_class.deadline),
         latency_objective=None if objective is None else milliseconds(objective),
-        retry_safety=PLATFORM_NAMES[traffic_class.retry_safety],
+        retry_safety=PLATFORM_RETRY_SAFETY_NAMES[traffic_class.retry_safety],
         deduplication_window=milliseconds(traffic_class.deduplication_window),
         value=traffic_class.value,
         late_value_share=traffic_class.late_value_share,
@@ -134,10 +134,10 @@
     own = {
         "body_bytes": int(limits.body),
         "head_bytes": int(limits.head),
-        "request_s": limits.request_timeout / SECOND,
-        "client_idle_s": limits.client_idle_timeout / SECOND,
+        "request_s": limits.request_timeout / MICROSECONDS_PER_SECOND,
+        "client_idle_s": limits.client_idle_timeout / MICROSECONDS_PER_SECOND,
         "outcome_store_bytes": int(configuration.outcomes.max_bytes),
-        "outcome_retention_s": configuration.outcomes.retention / SECOND,
+        "outcome_retention_s": configuration.outcomes.retention / MICROSECONDS_PER_SECOND,
         "notification_file_bytes": int(configuration.notifications.max_file_size),
         "notification_files": configuration.notifications.kept_files,
     }
@@ -151,7 +151,7 @@
 
 def zone_names(configuration: Configuration) -> list[str]:
     """Every zone that the file names, each once, in its order."""
-    endpoints = chain.from_iterable(map(endpoints_of, configuration.destinations.values()))
+    endpoints = chain.from_iterable(map(endpoints_as_tables, configuration.destinations.values()))
     names = [*map(str, configuration.zones), *(endpoint.zone for endpoint in endpoints)]
     return list(dict.fromkeys(names)) or [""]
 
@@ -170,7 +170,7 @@
             "size": endpoint.rate or destination.rate,
         }
         for number, destination in configuration.destinations.items()
-        for endpoint in endpoints_of(destination)
+        for endpoint in endpoints_as_tables(destination)
     ]
 
 
@@ -203,6 +203,6 @@
     return format_amount(value, SIZES) if isinstance(value, Size) else value
 
 
-def resolve(base: Path, path: str) -> Path:
+def resolve_path(base: Path, path: str) -> Path:
     """A path of the file, counted from the file's folder."""
     return (base / path).absolute()
--- a/ashpath/config/positions.py
+++ b/ashpath/config/positions.py
@@ -43,7 +43,7 @@
             if node.type == "table_array_element":
                 table_counts[path] = table_counts.get(path, -1) + 1
                 path = (*path, table_counts[path])
-            yield path, line_of(node)
+            yield path, line_number(node)
             for child in node.children:
                 if child.type == "pair":
                     yield from pair_keys(child, path)
@@ -53,7 +53,7 @@
     """The key of a pair, and those within its value."""
     names = [child for child in pair.children if "key" in child.type]
     path = (*table, *(key_parts(names[0]) if names else ()))
-    yield path, line_of(pair)
+    yield path, line_number(pair)
     yield from value_keys(pair.children[-1], path)
 
 
@@ -65,9 +65,9 @@
                 yield from pair_keys(child, path)
     elif value.type == "array":
         items = [child for child in value.children if child.is_named and child.type != "comment"]
-        for at, item in enumerate(items):
-            yield (*path, at), line_of(item)
-            yield from value_keys(item, (*path, at))
+        for index, item in enumerate(items):
+            yield (*path, index), line_number(item)
+            yield from value_keys(item, (*path, index))
 
 
 def key_parts(node: Node) -> KeyPath:
@@ -80,7 +80,7 @@
     return (text,)
 
 
-def line_of(node: Node) -> int:
+def line_number(node: Node) -> int:
     """From 1."""
     return node.start_point[0] + 1
 
@@ -88,4 +88,4 @@
 def longest_line(text: str) -> int:
     """The line that a parser most likely choked on where it does not say."""
     lines = text.split("\n")
-    return max(range(len(lines)), key=lambda at: len(lines[at])) + 1
+    return max(range(len(lines)), key=lambda index: len(lines[index])) + 1
--- a/ashpath/config/reference.py
+++ b/ashpath/config/reference.py
@@ -9,11 +9,11 @@
 import msgspec
 
 from ashpath.config.schema import Configuration
-from ashpath.config.schema_keys import TableKey, alternatives, expected, table_keys, table_type
+from ashpath.config.schema_keys import TableKey, alternatives, as_table_type, describe_expected, table_keys
 from ashpath.config.schema_types import Secret
 from ashpath.config.units import SIZES, TIMES, Duration, Size, format_amount
 
-HEAD = """# The sender's file
+PAGE_HEADER = """# The sender's file
 
 Made by `ashpath explain --markdown` of `ashpath/config/schema.py`; a test fails where this page is stale.
 
@@ -55,18 +55,18 @@
 class InnerTable:
     """A table below another one."""
 
-    shape: type[msgspec.Struct]
+    struct_type: type[msgspec.Struct]
     path: str
     reloadable: bool
 
 
 def reference_tables(
-    shape: type[msgspec.Struct] = Configuration, path: str = "", *, reloadable: bool = False
+    struct_type: type[msgspec.Struct] = Configuration, path: str = "", *, reloadable: bool = False
 ) -> Iterator[ReferenceTable]:
     """Each table of the file; one without keys of its own is left out, and its inner ones are not."""
     keys: list[ReferenceKey] = []
     inner_tables: list[InnerTable] = []
-    for name, row in table_keys(shape).items():
+    for name, row in table_keys(struct_type).items():
         row_path = f"{path}.{name}" if path else name
         inner = inner_table(row, row_path, reloadable=reloadable or row.key.reloadable)
         if inner is not None:
@@ -74,9 +74,9 @@
         if inner is None or inner.path.endswith("[]"):
             keys.append(reference_key(row, row_path, reloadable=reloadable or row.key.reloadable))
     if keys:
-        yield ReferenceTable(path, shape.__doc__ or "", keys)
+        yield ReferenceTable(path, struct_type.__doc__ or "", keys)
     for table in inner_tables:
-        yield from reference_tables(table.shape, table.path, reloadable=table.reloadable)
+        yield from reference_tables(table.struct_type, table.path, reloadable=table.reloadable)
 
 
 def inner_table(row: TableKey, path: str, *, reloadable: bool) -> InnerTable | None:
@@ -90,8 +90,8 @@
         path += "[]"
     else:
         inner = hint
-    shape = table_type(inner)
-    return None if shape is None or shape is Secret else InnerTable(shape, path, reloadable)
+    struct_type = as_table_type(inner)
+    return None if struct_type is None or struct_type is Secret else InnerTable(struct_type, path, reloadable)
 
 
 def reference_key(row: TableKey, path: str, *, reloadable: bool) -> ReferenceKey:
@@ -102,7 +102,7 @@
         default = "none"
     else:
         default = format_value(row.default)
-    return ReferenceKey(path, expected(row.hint, row.key), default, reloadable, row.key.doc)
+    return ReferenceKey(path, describe_expected(row.hint, row.key), default, reloadable, row.key.doc)
 
 
 def format_value(value: object) -> str:
@@ -120,7 +120,7 @@
 
 def markdown_page() -> str:
     """The whole page."""
-    text = HEAD
+    text = PAGE_HEADER
     for table in reference_tables():
         text += f"\n## `[{table.path}]`\n\n{' '.join(table.doc.split())}\n\n"
         text += "| key | wants | default | SIGHUP | what it is for |\n| --- | --- | --- | --- | --- |\n"
@@ -131,11 +131,11 @@
     return text
 
 
-def terminal_lines(wanted: str | None) -> list[str]:
+def terminal_lines(key_path: str | None) -> list[str]:
     """Lines for a terminal; of one key, or of all below it. None found: no lines."""
     lines = []
     for key in reference_keys():
-        if wanted is None or key.path == wanted or key.path.startswith((f"{wanted}.", f"{wanted}[")):
+        if key_path is None or key.path == key_path or key.path.startswith((f"{key_path}.", f"{key_path}[")):
             default = f"default {key.default}" if key.default else "must be given"
             when = "SIGHUP takes it" if key.reloadable else "waits for the next start"
             lines.append(f"{key.path}\n    {key.doc}\n    {key.expected}; {default}; {when}")
--- a/ashpath/config/schema_keys.py
+++ b/ashpath/config/schema_keys.py
@@ -42,10 +42,10 @@
 
 
 @cache
-def table_keys(shape: type[msgspec.Struct]) -> dict[str, TableKey]:
+def table_keys(struct_type: type[msgspec.Struct]) -> dict[str, TableKey]:
     """The keys of a table by their names in the file, in the order of the schema."""
     keys = {}
-    for field in msgspec.structs.fields(shape):
+    for field in msgspec.structs.fields(struct_type):
         parts = get_args(field.type) if get_origin(field.type) is Annotated else (field.type, Key(""))
         keys[field.encode_name] = TableKey(
             field=field.name,
@@ -65,12 +65,12 @@
     return tuple(part for part in get_args(hint) if part is not type(None))
 
 
-def table_type(hint: object) -> type[msgspec.Struct] | None:
+def as_table_type(hint: object) -> type[msgspec.Struct] | None:
     """The type as that of a table; None where it is another."""
     return hint if isinstance(hint, type) and issubclass(hint, msgspec.Struct) else None
 
 
-def expected(hint: object, key: Key) -> str:
+def describe_expected(hint: object, key: Key) -> str:
     """What a key wants, for a user."""
     hint = alternatives(hint)[0]
     origin = get_origin(hint)
@@ -78,22 +78,24 @@
         return "one of " + ", ".join(f'"{choice}"' for choice in get_args(hint))
     if origin is list:
         return "a list"
-    if origin is dict or table_type(hint):
+    if origin is dict or as_table_type(hint):
         return TYPE_NAMES.get(hint, "a table")
-    return TYPE_NAMES[hint] + bounds(hint, key)
+    return TYPE_NAMES[hint] + format_bounds(hint, key)
 
 
-def bounds(hint: object, key: Key) -> str:
+def format_bounds(hint: object, key: Key) -> str:
     """The bounds of a key as a user writes them; empty where it has none.
 
-    >>> bounds(Duration, Key("", 1000, 60_000_000)), bounds(int, Key("", 1)), bounds(str, Key("", 0, 16))
-    (', from 1ms to 1min', ', from 1', ', of 0 to 16 characters')
+    >>> format_bounds(Duration, Key("", 1000, 60_000_000)), format_bounds(int, Key("", 1))
+    (', from 1ms to 1min', ', from 1')
+    >>> format_bounds(str, Key("", 0, 16))
+    ', of 0 to 16 characters'
     """
-    least = format_bound(hint, key.least)
-    most = format_bound(hint, key.most)
-    if hint is str and most:
-        return f", of {least} to {most} characters"
-    return (f", from {least}" if least else "") + (f" to {most}" if most else "")
+    minimum = format_bound(hint, key.minimum)
+    maximum = format_bound(hint, key.maximum)
+    if hint is str and maximum:
+        return f", of {minimum} to {maximum} characters"
+    return (f", from {minimum}" if minimum else "") + (f" to {maximum}" if maximum else "")
 
 
 def format_bound(hint: object, bound: float | None) -> str | None:
--- a/ashpath/config/schema_types.py
+++ b/ashpath/config/schema_types.py
@@ -22,8 +22,8 @@
     """What stands beside the type of a key. Bounds are in its unit: microseconds, bytes, counts."""
 
     doc: str
-    least: float | None = None
-    most: float | None = None
+    minimum: float | None = None
+    maximum: float | None = None
     reloadable: bool = False
     """A reload (SIGHUP) applies a change; else it waits for the next start."""
 
--- a/ashpath/config/units.py
+++ b/ashpath/config/units.py
@@ -21,7 +21,7 @@
 AMOUNT = re.compile(r"([0-9]{1,15}(?:\.[0-9]{1,6})?) ?([A-Za-z]+)", re.ASCII)
 HOST = re.compile(r"[A-Za-z0-9]([A-Za-z0-9.-]{0,251}[A-Za-z0-9])?", re.ASCII)
 NAME = re.compile(r"[!-~]{1,64}")
-NOT_IN_NAMES = frozenset("/\\\"'")
+FORBIDDEN_NAME_CHARACTERS = frozenset("/\\\"'")
 MAX_PORT = 65535
 
 
@@ -57,10 +57,10 @@
     Traceback (most recent call last):
     ashpath...InvalidAmountError: no amount with a unit
     """
-    found = AMOUNT.fullmatch(text) if isinstance(text, str) else None
-    if found is None or found[2] not in units:
+    match = AMOUNT.fullmatch(text) if isinstance(text, str) else None
+    if match is None or match[2] not in units:
         raise InvalidAmountError
-    return round(float(found[1]) * units[found[2]])
+    return round(float(match[1]) * units[match[2]])
 
 
 def format_amount(value: int, units: dict[str, int]) -> str:
@@ -97,7 +97,7 @@
 
 def parse_name(text: object) -> Name:
     """The text, if it can stand in a header, a log line and a path. Raises InvalidNameError."""
-    if not isinstance(text, str) or not NAME.fullmatch(text) or set(text) & NOT_IN_NAMES:
+    if not isinstance(text, str) or not NAME.fullmatch(text) or set(text) & FORBIDDEN_NAME_CHARACTERS:
         raise InvalidNameError
     return Name(text)
 
@@ -121,7 +121,7 @@
     return HttpTarget(address, parts.path or "/")
 
 
-READERS: dict[object, Callable[[object], object]] = {
+PARSERS: dict[object, Callable[[object], object]] = {
     Duration: lambda value: Duration(parse_amount(value, TIMES)),
     Size: lambda value: Size(parse_amount(value, SIZES)),
     Address: parse_address,
--- a/ashpath/config/validation.py
+++ b/ashpath/config/validation.py
@@ -13,25 +13,32 @@
 import msgspec
 
 from ashpath.config.errors import InvalidDocumentError
-from ashpath.config.faults import ConfigurationFault, KeyPath, describe
-from ashpath.config.schema_keys import TYPE_NAMES, TableKey, alternatives, expected, table_keys, table_type
+from ashpath.config.faults import ConfigurationFault, KeyPath, describe_value
+from ashpath.config.schema_keys import (
+    TYPE_NAMES,
+    TableKey,
+    alternatives,
+    as_table_type,
+    describe_expected,
+    table_keys,
+)
 from ashpath.config.schema_types import Key, Secret
-from ashpath.config.units import READERS, Duration, Size
+from ashpath.config.units import PARSERS, Duration, Size
 
 NUMBER = re.compile(r"0|[1-9][0-9]{0,11}", re.ASCII)
 UNBOUNDED = Key("")
 NUMERIC_TYPES = (int, float, Duration, Size)
 
-Shape = TypeVar("Shape", bound=msgspec.Struct)
+StructType = TypeVar("StructType", bound=msgspec.Struct)
 
 
-def validate(shape: type[Shape], document: object) -> Shape:
+def validate(struct_type: type[StructType], document: object) -> StructType:
     """The struct that the tables make. Raises InvalidDocumentError, with all that keeps them from it."""
     validator = Validator()
-    made = validator.table(shape, document, ())
-    if validator.faults or made is None:
+    struct = validator.validate_table(struct_type, document, ())
+    if validator.faults or struct is None:
         raise InvalidDocumentError(validator.faults)
-    return made
+    return struct
 
 
 class Validator:
@@ -40,112 +47,116 @@
     def __init__(self) -> None:
         self.faults: list[ConfigurationFault] = []
 
-    def fault(self, path: KeyPath, found: str, wanted: str) -> None:
+    def add_fault(self, path: KeyPath, found: str, expected: str) -> None:
         """Notes one fault."""
-        self.faults.append(ConfigurationFault(path, found, wanted))
+        self.faults.append(ConfigurationFault(path, found, expected))
 
-    def table(self, shape: type[Shape], value: object, path: KeyPath) -> Shape | None:
+    def validate_table(
+        self, struct_type: type[StructType], value: object, path: KeyPath
+    ) -> StructType | None:
         """A struct of a table; None where a fault was found so far."""
         if not isinstance(value, dict):
-            self.fault(path, describe(value), "a table")
+            self.add_fault(path, describe_value(value), "a table")
             return None
-        keys = table_keys(shape)
-        self.unknown_keys(value, keys, path)
+        keys = table_keys(struct_type)
+        self.check_unknown_keys(value, keys, path)
         fields: dict[str, object] = {}
         for name, row in keys.items():
             if name in value:
-                fields[row.field] = self.value(row.hint, row.key, value[name], (*path, name))
+                fields[row.field] = self.validate_value(row.hint, row.key, value[name], (*path, name))
             elif row.required:
-                self.fault((*path, name), "nothing", expected(row.hint, row.key))
-        return None if self.faults else shape(**fields)
+                self.add_fault((*path, name), "nothing", describe_expected(row.hint, row.key))
+        return None if self.faults else struct_type(**fields)
 
-    def unknown_keys(self, value: dict[str, object], keys: dict[str, TableKey], path: KeyPath) -> None:
+    def check_unknown_keys(self, value: dict[str, object], keys: dict[str, TableKey], path: KeyPath) -> None:
         """A fault for each key that the schema lacks, with the name that was probably meant."""
         for name in value:
             if name not in keys:
                 from difflib import get_close_matches  # only where there is a fault
 
-                near = get_close_matches(name, keys, 1, 0.5)
-                hint = f"{near[0]!r}" if near else "one of " + ", ".join(keys)
-                self.fault((*path, name), "an unknown key", hint)
+                matches = get_close_matches(name, keys, 1, 0.5)
+                suggestion = f"{matches[0]!r}" if matches else "one of " + ", ".join(keys)
+                self.add_fault((*path, name), "an unknown key", suggestion)
 
-    def value(self, hint: object, key: Key, value: object, path: KeyPath) -> object:
+    def validate_value(self, hint: object, key: Key, value: object, path: KeyPath) -> object:
         """A value of any type."""
         options = alternatives(hint)
         if options[0] is Secret:
-            return self.secret(value, path)
-        shape = next(filter(None, map(table_type, options)), None)
-        if shape is not None and (len(options) == 1 or isinstance(value, dict)):
-            return self.table(shape, value, path)
+            return self.validate_secret(value, path)
+        struct_type = next(filter(None, map(as_table_type, options)), None)
+        if struct_type is not None and (len(options) == 1 or isinstance(value, dict)):
+            return self.validate_table(struct_type, value, path)
         origin = get_origin(options[0])
         if origin is dict:
             name_hint, table_hint = get_args(options[0])
-            return self.named_tables(name_hint, table_hint, key, value, path)
+            return self.validate_named_tables(name_hint, table_hint, key, value, path)
         if origin is list:
-            return self.items(get_args(options[0])[0], key, value, path)
-        return self.leaf(options[0], key, value, path)
+            return self.validate_list(get_args(options[0])[0], key, value, path)
+        return self.validate_scalar(options[0], key, value, path)
 
-    def named_tables(
+    def validate_named_tables(
         self, name_hint: object, table_hint: object, key: Key, value: object, path: KeyPath
     ) -> dict[object, object] | None:
         """A table of tables, by names or by numbers."""
         if not isinstance(value, dict):
-            self.fault(path, describe(value), "a table of tables")
+            self.add_fault(path, describe_value(value), "a table of tables")
             return None
-        self.count(key, len(value), path, "tables")
+        self.check_count(key, len(value), path, "tables")
         tables: dict[object, object] = {}
         for name, row in value.items():
             row_path = (*path, name)
             if name_hint is not int:
-                self.leaf(name_hint, UNBOUNDED, name, row_path)
-                tables[name] = self.value(table_hint, UNBOUNDED, row, row_path)
+                self.validate_scalar(name_hint, UNBOUNDED, name, row_path)
+                tables[name] = self.validate_value(table_hint, UNBOUNDED, row, row_path)
             elif NUMBER.fullmatch(name):
-                tables[int(name)] = self.value(table_hint, UNBOUNDED, row, row_path)
+                tables[int(name)] = self.validate_value(table_hint, UNBOUNDED, row, row_path)
             else:
-                self.fault(row_path, describe(name), "a whole number as the name of the table")
+                self.add_fault(row_path, describe_value(name), "a whole number as the name of the table")
         return tables
 
-    def items(self, hint: object, key: Key, value: object, path: KeyPath) -> list[object] | None:
+    def validate_list(self, hint: object, key: Key, value: object, path: KeyPath) -> list[object] | None:
         """A list."""
         if not isinstance(value, list):
-            self.fault(path, describe(value), "a list")
+            self.add_fault(path, describe_value(value), "a list")
             return None
-        self.count(key, len(value), path, "items")
-        return [self.value(hint, UNBOUNDED, item, (*path, at)) for at, item in enumerate(value)]
+        self.check_count(key, len(value), path, "items")
+        return [
+            self.validate_value(hint, UNBOUNDED, item, (*path, index)) for index, item in enumerate(value)
+        ]
 
-    def count(self, key: Key, count: int, path: KeyPath, what: str) -> None:
+    def check_count(self, key: Key, count: int, path: KeyPath, noun: str) -> None:
         """A fault where there are too few or too many rows."""
-        if not (key.least or 0) <= count <= (key.most or count):
-            self.fault(path, f"{count} {what}", f"{key.least:g} to {key.most:g}")
+        if not (key.minimum or 0) <= count <= (key.maximum or count):
+            self.add_fault(path, f"{count} {noun}", f"{key.minimum:g} to {key.maximum:g}")
 
-    def leaf(self, hint: object, key: Key, value: object, path: KeyPath) -> object:
+    def validate_scalar(self, hint: object, key: Key, value: object, path: KeyPath) -> object:
         """A single value within its bounds."""
         try:
-            found = convert_value(hint, value)
+            converted = convert_value(hint, value)
         except (msgspec.ValidationError, ValueError):
-            self.fault(path, describe(value), expected(hint, key))
+            self.add_fault(path, describe_value(value), describe_expected(hint, key))
             return None
-        if not within_bounds(hint, key, found):
-            self.fault(path, describe(value), expected(hint, key))
+        if not within_bounds(hint, key, converted):
+            self.add_fault(path, describe_value(value), describe_expected(hint, key))
             return None
-        return found
+        return converted
 
-    def secret(self, value: object, path: KeyPath) -> Secret | None:
+    def validate_secret(self, value: object, path: KeyPath) -> Secret | None:
         """Where a secret is. What was found is not said: it may be the secret itself."""
         try:
-            found = msgspec.convert(value, Secret)
+            secret = msgspec.convert(value, Secret)
         except msgspec.ValidationError:
-            found = Secret()
-        if bool(found.env) == bool(found.file) or "\0" in found.env + found.file or "=" in found.env:
-            self.fault(path, "something else", TYPE_NAMES[Secret])
+            secret = Secret()
+        if bool(secret.env) == bool(secret.file) or "\0" in secret.env + secret.file or "=" in secret.env:
+            self.add_fault(path, "something else", TYPE_NAMES[Secret])
             return None
-        return found
+        return secret
 
 
 def convert_value(hint: object, value: object) -> object:
     """The value as its type; ValueError or msgspec.ValidationError where it is none."""
-    if hint in READERS:
-        return READERS[hint](value)
+    if hint in PARSERS:
+        return PARSERS[hint](value)
     converted: object = msgspec.convert(value, hint)
     return converted
 
@@ -153,13 +164,13 @@
 def within_bounds(hint: object, key: Key, value: object) -> bool:
     """Whether a number, or the length of a text that has bounds, lies within them."""
     if isinstance(value, str):
-        if hint is not str or key.most is None:
+        if hint is not str or key.maximum is None:
             return True
         amount: float = len(value)
     elif hint in NUMERIC_TYPES and isinstance(value, int | float):
         amount = value
     else:
         return True
-    least = -float("inf") if key.least is None else key.least
-    most = float("inf") if key.most is None else key.most
-    return least <= amount <= most  # so that a NaN, which is neither less nor more, is refused
+    minimum = -float("inf") if key.minimum is None else key.minimum
+    maximum = float("inf") if key.maximum is None else key.maximum
+    return minimum <= amount <= maximum  # so that a NaN, which is neither less nor more, is refused
--- a/ashpath/emulator/scenario/loading.py
+++ b/ashpath/emulator/scenario/loading.py
@@ -6,7 +6,7 @@
 
 from ashpath.config.constraints import time_conflicts
 from ashpath.config.faults import ConfigurationFault
-from ashpath.config.loading import read_as
+from ashpath.config.loading import read_and_validate
 from ashpath.emulator.scenario.conditions import SIGNALS, parse_condition
 from ashpath.emulator.scenario.schema import DESTINATION_FAULTS, Scenario, ScriptedFault
 from ashpath.emulator.scenario.settings import sender_configuration, simulated_length
@@ -15,7 +15,7 @@
 
 def read_scenario(path: Path) -> Scenario:
     """The scenario of a file. Raises `ashpath.config.loading.InvalidConfigurationError`."""
-    found: Scenario = read_as(path, Scenario, invalid_settings)
+    found: Scenario = read_and_validate(path, Scenario, invalid_settings)
     return found
 
 
