--- a/ashpath/cli/check.py
+++ b/ashpath/cli/check.py
@@ -20,12 +20,12 @@
     """Say all that is wrong with FILE, a sender's file or a scenario to simulate, a line each with file, line
     and key. Exit code 0, or 2."""
     try:
-        found = describe_scenario(file) if is_scenario(file) else describe_sender(file)
+        description = describe_scenario(file) if is_scenario(file) else describe_sender(file)
     except InvalidConfigurationError as error:
         for line in error.lines:
             print(line, file=sys.stderr)
         return ExitCode.BAD_INPUT
-    print(f"{file}: sound: {found}")
+    print(f"{file}: sound: {description}")
     return ExitCode.OK
 
 
@@ -51,7 +51,7 @@
     if configuration.platform:
         source = f"directory {configuration.platform.directory}"
     else:
-        endpoints = sum(len(one.endpoints) for one in configuration.destinations.values())
+        endpoints = sum(len(destination.endpoints) for destination in configuration.destinations.values())
         source = f"{endpoints} endpoints"
     classes = len(configuration.traffic_classes)
     return f"{classes} tracks, {len(configuration.destinations)} destinations, {source}"
--- a/ashpath/cli/demo.py
+++ b/ashpath/cli/demo.py
@@ -15,7 +15,7 @@
 from ashpath.cli.output import Row, format_cell
 
 ShowRows = Callable[[float, Sequence[Row]], None]
-"""Called with the seconds that passed, and a row for each destination."""
+"""Called with the seconds that elapsed_s, and a row for each destination."""
 
 
 @click.command()
@@ -81,18 +81,18 @@
 
     with Live(auto_refresh=False) as live:
 
-        def draw(passed: float, rows: Sequence[Row]) -> None:
-            title = f"ashpath demo, {passed:.0f} s"
+        def draw_table(elapsed_s: float, rows: Sequence[Row]) -> None:
+            title = f"ashpath demo, {elapsed_s:.0f} s"
             table = Table(*rows[0], title=title, box=SIMPLE_HEAD, pad_edge=False, collapse_padding=True)
             for row in rows:
                 table.add_row(*map(format_cell, row.values()))
             live.update(table, refresh=True)
 
-        yield draw
+        yield draw_table
 
 
-def print_lines(passed: float, rows: Sequence[Row]) -> None:
+def print_lines(elapsed_s: float, rows: Sequence[Row]) -> None:
     """A line for each destination."""
     for row in rows:
         cells = " ".join(f"{name}={format_cell(value)}" for name, value in row.items())
-        print(f"{passed:5.1f}s {cells}", flush=True)
+        print(f"{elapsed_s:5.1f}s {cells}", flush=True)
--- a/ashpath/cli/destinations.py
+++ b/ashpath/cli/destinations.py
@@ -5,14 +5,14 @@
 import click
 
 from ashpath.cli.exit_codes import ExitCode
-from ashpath.cli.options import rows_as_json, url_argument
+from ashpath.cli.options import json_rows_option, url_argument
 from ashpath.cli.output import print_rows
 from ashpath.cli.status_client import StatusClient
 
 
 @click.command()
 @url_argument
-@rows_as_json
+@json_rows_option
 def command(url: str, as_json: bool) -> int:
     """List the destinations of the standalone sender at URL: concurrency limits, circuit breakers, messages
     that are queued and in flight."""
--- a/ashpath/cli/ledger.py
+++ b/ashpath/cli/ledger.py
@@ -34,9 +34,9 @@
 @json_option
 def show(folder: Path, as_json: bool) -> int:
     """List its live messages, in the order in which they were accepted."""
-    contents = read(folder)
+    contents = read_contents(folder)
     print_rows(message_rows(contents), as_json=as_json)
-    warn(contents)
+    warn_if_damaged(contents)
     return ExitCode.OK
 
 
@@ -46,7 +46,7 @@
 def verify(folder: Path, as_json: bool) -> int:
     """Say whether every record is whole, and else at which byte the first one that is not stands. Exit code
     0, or 1."""
-    contents = read(folder)
+    contents = read_contents(folder)
     if as_json:
         print_json(verification(contents))
     else:
@@ -59,18 +59,18 @@
 @json_option
 def stats(folder: Path, as_json: bool) -> int:
     """Count its records, and its live messages by traffic class and destination."""
-    contents = read(folder)
+    contents = read_contents(folder)
     counts = statistics(contents)
     if as_json:
         print_json(counts)
     else:
         for name, value in counts.items():
             print(f"{name}\t{format_count(value)}")
-    warn(contents)
+    warn_if_damaged(contents)
     return ExitCode.OK
 
 
-def read(folder: Path) -> LogContents:
+def read_contents(folder: Path) -> LogContents:
     """Raises BadInputError where there is no log that can be opened."""
     path = log_path(folder)
     try:
@@ -79,7 +79,7 @@
         raise BadInputError(path, error.strerror) from error
 
 
-def warn(contents: LogContents) -> None:
+def warn_if_damaged(contents: LogContents) -> None:
     """Says on standard error where the log is not whole."""
     if contents.fault:
         print(f"ashpath: {verification_summary(contents)}", file=sys.stderr)
--- a/ashpath/cli/options.py
+++ b/ashpath/cli/options.py
@@ -10,10 +10,10 @@
 
 DEFAULT_URL = "http://127.0.0.1:7070"
 
-rows_as_json = click.option("--json", "as_json", is_flag=True, help="A line of JSON for each.")
+json_rows_option = click.option("--json", "as_json", is_flag=True, help="A line of JSON for each.")
 url_argument = click.argument("url", envvar="ASHPATH_URL")
 url_option = click.option("--url", default=DEFAULT_URL, envvar="ASHPATH_URL", show_default=True)
-SEEDS = re.compile(r"([0-9]{1,9})(?:\.\.([0-9]{1,9}))?")
+SEED_RANGE = re.compile(r"([0-9]{1,9})(?:\.\.([0-9]{1,9}))?")
 
 
 class DurationType(click.ParamType[int]):
@@ -41,11 +41,11 @@
         """Fails where the text is no number and no range, or the range is empty or too long."""
         if isinstance(value, list):
             return value
-        found = SEEDS.fullmatch(value) if isinstance(value, str) else None
-        if found is None:
+        match = SEED_RANGE.fullmatch(value) if isinstance(value, str) else None
+        if match is None:
             self.fail(f"found {value!r}, expected a number or FROM..TO", param, ctx)
-        first = int(found[1])
-        last = int(found[2] or found[1])
+        first = int(match[1])
+        last = int(match[2] or match[1])
         if not first <= last < first + self.max_seeds:
             self.fail(f"found {value!r}, expected FROM..TO of {self.max_seeds} at most", param, ctx)
         return list(range(first, last + 1))
--- a/ashpath/cli/output.py
+++ b/ashpath/cli/output.py
@@ -21,14 +21,14 @@
         for row in rows:
             print_json(row)
         return
-    found = list(rows)
-    if not found:
+    row_list = list(rows)
+    if not row_list:
         return
     if sys.stdout.isatty():
-        print_table(found)
+        print_table(row_list)
         return
-    print("\t".join(found[0]))
-    for row in found:
+    print("\t".join(row_list[0]))
+    for row in row_list:
         print("\t".join(map(format_cell, row.values())))
 
 
--- a/ashpath/cli/simulate.py
+++ b/ashpath/cli/simulate.py
@@ -51,20 +51,20 @@
         trace_id=story or "",
     )
     try:
-        played = simulation_runs.play_scenario(request, sockets=sockets, keep=keep)
+        results = simulation_runs.run_scenario(request, sockets=sockets, keep=keep)
     except InvalidConfigurationError as error:
         for line in error.lines:
             print(f"ashpath: {line}", file=sys.stderr)
         return ExitCode.BAD_INPUT
-    report.print_tables(played, windows=windows)
+    report.print_tables(results, windows=windows)
     if modes:
-        report.print_modes(played.runs[0])
-    report.print_violations(played)
+        report.print_mode_changes(results.runs[0])
+    report.print_violations(results)
     if story:
-        report.print_history(played.runs[0], story)
+        report.print_history(results.runs[0], story)
     if file is not None:
-        write_outcome(file, played.outcome())
-    return ExitCode.FAILED if report.policy_broke_rules(played) else ExitCode.OK
+        write_outcome(file, results.outcome())
+    return ExitCode.FAILED if report.policy_broke_rules(results) else ExitCode.OK
 
 
 def write_outcome(file: Path, data: bytes) -> None:
--- a/ashpath/cli/simulation_runs.py
+++ b/ashpath/cli/simulation_runs.py
@@ -26,7 +26,7 @@
 
 ALL_POLICIES = "all"
 DEFAULT_SEED = 1
-BOTH_SEED_OPTIONS = "--seed and --seeds"
+SEED_OPTIONS = "--seed and --seeds"
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedScenario:
+class ScenarioResults:
     """A scenario and its runs."""
 
     name: str
@@ -65,7 +65,7 @@
     """The file of a scenario. Raises BadInputError where the library has none of that name."""
     path = scenario_path(name)
     if not path.exists() and not name.endswith(".toml"):
-        known = ", ".join(sorted(one.stem for one in SCENARIO_LIBRARY.glob("*.toml")))
+        known = ", ".join(sorted(file.stem for file in SCENARIO_LIBRARY.glob("*.toml")))
         problem = f"no day {name!r}; the library has {known}"
         raise BadInputError(problem)
     return path
@@ -86,11 +86,11 @@
     """Raises BadInputError where both are given."""
     if seed is not None and seeds is not None:
         problem = "found both, expected one of them"
-        raise BadInputError(BOTH_SEED_OPTIONS, problem)
+        raise BadInputError(SEED_OPTIONS, problem)
     return seeds or [DEFAULT_SEED if seed is None else seed]
 
 
-def play_scenario(request: SimulationRequest, *, sockets: bool, keep: Path | None) -> PlayedScenario:
+def run_scenario(request: SimulationRequest, *, sockets: bool, keep: Path | None) -> ScenarioResults:
     """All runs. Raises InvalidConfigurationError where the scenario's file is not sound, or CommandError."""
     try:
         scenario = read_scenario(request.path)
@@ -101,7 +101,7 @@
         raise BadInputError(request.path, error) from error
     except RuntimeError as error:
         raise CommandError(error) from error
-    return PlayedScenario(request.path.stem, scenario, runs)
+    return ScenarioResults(request.path.stem, scenario, runs)
 
 
 def run_in_virtual_time(request: SimulationRequest) -> list[Run]:
--- a/ashpath/cli/standalone.py
+++ b/ashpath/cli/standalone.py
@@ -30,13 +30,13 @@
 def serve(file: str) -> int:
     """Runs a sender to its end; the exit code."""
     try:
-        return start(Path(file))
+        return run_sender(Path(file))
     except (InvalidConfigurationError, StateDirectoryError) as error:
         print(f"ashpath: {error}", file=sys.stderr)
         return 2
 
 
-def start(path: Path) -> int:
+def run_sender(path: Path) -> int:
     """Raises `InvalidConfigurationError` and `StateDirectoryError`, before any message was accepted."""
     pending_hangups: list[int] = []  # before the sender runs: by default SIGHUP would end the process
     signal.signal(signal.SIGHUP, lambda number, _: pending_hangups.append(number))
--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -71,7 +71,11 @@
 
     def destination_names(self) -> dict[int, str]:
         """Of the destinations that have one."""
-        return {number: one.name for number, one in self.file.destinations.items() if one.name}
+        return {
+            number: destination.name
+            for number, destination in self.file.destinations.items()
+            if destination.name
+        }
 
     def notification_receiver(self) -> NotificationReceiver | None:
         """Where notifications go by HTTP; None where they go to a file, or nowhere."""
@@ -146,8 +150,8 @@
 
     def __init__(self, configuration: FileConfiguration, sender: Sender, log_format: LogFormat) -> None:
         self.path = configuration.path
-        self.started = configuration.file  # what the process started with
-        self.latest = configuration.file  # what was read last
+        self.startup_configuration = configuration.file  # what the process started with
+        self.latest_configuration = configuration.file  # what was read last
         self.sender = sender
         self.log_format = log_format
 
@@ -159,17 +163,17 @@
             raise ConfigurationError(error_text(error)) from error
         # First: it may not be possible, and then nothing else is applied.
         self.sender.settings_switch.apply(configuration.sender)
-        applied = find_changes(self.latest, configuration.file).applied
-        waiting = find_changes(self.started, configuration.file).at_next_start
-        self.latest = configuration.file
+        applied = find_changes(self.latest_configuration, configuration.file).applied
+        waiting = find_changes(self.startup_configuration, configuration.file).at_next_start
+        self.latest_configuration = configuration.file
         self.log_format.use(configuration.file.logging.level, configuration.file.logging.form)
         self.sender.logger.info(
-            "configuration read", taken=shortened(applied), needs_restart=shortened(waiting)
+            "configuration read", taken=truncate_keys(applied), needs_restart=truncate_keys(waiting)
         )
         self.update_names(configuration)
         self.sender.delivery.attempt_runner.use_credentials(configuration.credentials.destinations)
-        self.move_discovery(configuration, applied)
-        self.move_notifier(configuration)
+        self.update_discovery(configuration, applied)
+        self.update_notifier(configuration)
 
     def update_names(self, configuration: FileConfiguration) -> None:
         """The names in responses to clients that ask."""
@@ -178,7 +182,7 @@
             running = self.sender.running.current.settings
             status_api.apply_names(running.traffic_class_names(), configuration.destination_names())
 
-    def move_discovery(self, configuration: FileConfiguration, applied: list[str]) -> None:
+    def update_discovery(self, configuration: FileConfiguration, applied: list[str]) -> None:
         """To another address; without service discovery, the file's own endpoint list is applied."""
         discovery = self.sender.discovery
         address = configuration.sender.platform_address
@@ -189,7 +193,7 @@
             members = configuration.sender.known_endpoints["members"]
             self.sender.delivery.membership.receive_members(members, complete=True)
 
-    def move_notifier(self, configuration: FileConfiguration) -> None:
+    def update_notifier(self, configuration: FileConfiguration) -> None:
         """To another address, where notifications go to one."""
         notifier = self.sender.delivery.notifier
         receiver = configuration.notification_receiver()
@@ -197,7 +201,7 @@
             notifier.move(receiver)
 
 
-def shortened(paths: list[str]) -> list[str]:
+def truncate_keys(paths: list[str]) -> list[str]:
     """As many as a log line has room for."""
     if len(paths) <= MAX_LOGGED_KEYS:
         return paths
--- a/ashpath/cli/status_client.py
+++ b/ashpath/cli/status_client.py
@@ -18,9 +18,9 @@
     SUBMIT_PATH,
 )
 
-TIMEOUT_S = 5.0  # for a response
+RESPONSE_TIMEOUT_S = 5.0  # for a response
 DEFAULT_PORT = 80
-NO_LISTS = "a sender of a platform does not list what it holds"
+STATUS_API_ABSENT = "a sender of a platform does not list what it holds"
 INVALID_URL = "found no address of a sender, expected http://HOST:PORT"
 
 
@@ -63,7 +63,7 @@
         self, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
     ) -> StatusResponse:
         """Raises SenderUnreachableError."""
-        connection = HTTPConnection(self.host, self.port, timeout=TIMEOUT_S)
+        connection = HTTPConnection(self.host, self.port, timeout=RESPONSE_TIMEOUT_S)
         try:
             connection.request(method, path, body, headers or {})
             response = connection.getresponse()
@@ -79,34 +79,34 @@
         """Submits a message. Raises SenderUnreachableError."""
         return self.request("POST", SUBMIT_PATH.decode(), body, headers)
 
-    def message(self, trace_id: str) -> JsonObject | None:
+    def message_state(self, trace_id: str) -> JsonObject | None:
         """The message's state; None where the sender does not know it. Raises CommandError."""
         response = self.request("GET", MESSAGE_PATH_PREFIX.decode() + quote(trace_id, safe=""))
-        return self.decode(response) if response.status == 200 else None
+        return self.decode_json(response) if response.status == 200 else None
 
     def live_messages(self) -> list[JsonObject]:
         """In the order in which they were accepted. Raises CommandError."""
-        return self.pages(MESSAGES_PATH, "envelopes")
+        return self.list_rows(MESSAGES_PATH, "envelopes")
 
     def destinations(self) -> list[JsonObject]:
         """Raises CommandError."""
-        return self.pages(DESTINATIONS_PATH, "destinations")
+        return self.list_rows(DESTINATIONS_PATH, "destinations")
 
-    def pages(self, path: bytes, rows_key: str) -> list[JsonObject]:
+    def list_rows(self, path: bytes, rows_key: str) -> list[JsonObject]:
         """All rows of a list, page after page."""
         rows: list[JsonObject] = []
         after = -1
         while True:
-            page = self.decode(self.request("GET", f"{path.decode()}?after={after}"))
+            page = self.decode_json(self.request("GET", f"{path.decode()}?after={after}"))
             rows += page[rows_key]
             if "next" not in page:
                 return rows
             after = page["next"]
 
-    def decode(self, response: StatusResponse) -> JsonObject:
+    def decode_json(self, response: StatusResponse) -> JsonObject:
         """The JSON of a response. Raises CommandError where there is none, or the status is not 200."""
         if response.status == 404:
-            raise CommandError(self.url, NO_LISTS)
+            raise CommandError(self.url, STATUS_API_ABSENT)
         try:
             document: JsonObject = orjson.loads(response.body)
         except ValueError as error:
--- a/ashpath/cli/submission.py
+++ b/ashpath/cli/submission.py
@@ -12,12 +12,16 @@
 
 FIRST_POLL_S = 0.05  # until the first look at the message's state; doubled up to
 MAX_POLL_S = 0.5
-RESTART_S = 5.0  # past its deadline, in which the sender may be starting anew
+RESTART_GRACE_S = 5.0  # past its deadline, in which the sender may be starting anew
 
 LIVE_STATES = ("held", "out")
 UNKNOWN_STATE = "unknown"
 NOT_ACCEPTED = "not taken on"
-REASONS = {409: "an envelope with this id is held", 413: "the body is too long", 400: "see --track and --key"}
+REJECTION_REASONS = {
+    409: "an envelope with this id is held",
+    413: "the body is too long",
+    400: "see --track and --key",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,24 +66,24 @@
         return row | {"state": "bounced", "again_ms": seconds and round(seconds * 1000)}
     if status == 500:
         return row | {"state": "aborted"}
-    reason = REASONS.get(status, "not an envelope")
+    reason = REJECTION_REASONS.get(status, "not an envelope")
     problem = f"status {status}, {reason}"
     raise CommandError(client.url, NOT_ACCEPTED, problem)
 
 
 def wait_for_outcome(client: StatusClient, submission: Submission) -> JsonObject:
     """Its final state. A sender that does not respond may be starting anew: it is polled until the end."""
-    give_up_at = time.monotonic() + submission.lifetime_us / 1e6 + RESTART_S
+    poll_until = time.monotonic() + submission.lifetime_us / 1e6 + RESTART_GRACE_S
     pause = FIRST_POLL_S
-    while time.monotonic() < give_up_at:
+    while time.monotonic() < poll_until:
         time.sleep(pause)
         pause = min(2 * pause, MAX_POLL_S)
         try:
-            found = client.message(submission.trace_id)
+            message = client.message_state(submission.trace_id)
         except SenderUnreachableError:
             continue
-        if found is None:
+        if message is None:
             break
-        if found["state"] not in LIVE_STATES:
-            return found
+        if message["state"] not in LIVE_STATES:
+            return message
     return {"state": UNKNOWN_STATE}
