--- a/ashpath/cli/demo.py
+++ b/ashpath/cli/demo.py
@@ -15,7 +15,7 @@
 from ashpath.cli.output import Row, format_cell
 
 ShowRows = Callable[[float, Sequence[Row]], None]
-"""Called with the seconds that elapsed_s, and a row for each destination."""
+"""Called with the seconds that passed, and a row for each destination."""
 
 
 @click.command()
--- a/tests/cli/test_group.py
+++ b/tests/cli/test_group.py
@@ -6,21 +6,21 @@
 from support.standalone import Alone
 
 
-def test_version(alone: Alone) -> None:
+def test_version_option_prints_program_name(alone: Alone) -> None:
     assert alone.run("--version").stdout.startswith("ashpath ")
 
 
-def test_help_lists_the_commands(alone: Alone) -> None:
+def test_help_lists_commands_without_aliases(alone: Alone) -> None:
     listed = alone.run("-h").stdout
     assert "submit" in listed
     assert "hand-in" not in listed
 
 
-def test_help_of_a_command(alone: Alone) -> None:
+def test_command_help_lists_its_options(alone: Alone) -> None:
     assert "--kill" in alone.run("demo", "-h").stdout
 
 
-def test_completion(alone: Alone) -> None:
+def test_completion_prints_shell_script(alone: Alone) -> None:
     assert "_ASHPATH_COMPLETE" in alone.run("completion", "bash").stdout
 
 
@@ -28,7 +28,7 @@
     ("body", "exit_code"),
     [("200", 0), ("500", 4)],
 )
-def test_hand_in_is_submit(alone: Alone, url: str, body: str, exit_code: int) -> None:
+def test_hand_in_alias_behaves_as_submit(alone: Alone, url: str, body: str, exit_code: int) -> None:
     """The same output and exit code for two messages that are alike."""
     alone.start()
     outputs = []
@@ -53,7 +53,7 @@
     assert outputs[0] == outputs[1]
 
 
-def test_rehearse_is_simulate(alone: Alone) -> None:
+def test_rehearse_alias_behaves_as_simulate(alone: Alone) -> None:
     simulated = alone.run("simulate", "calm", "--seed", "2", "--modes")
     rehearsed = alone.run("rehearse", "calm", "--seed", "2", "--modes")
     assert simulated.returncode == 0
@@ -61,7 +61,7 @@
     assert (rehearsed.returncode, rehearsed.stdout) == (simulated.returncode, simulated.stdout)
 
 
-def test_rehearse_refuses_as_simulate_does(alone: Alone) -> None:
+def test_rehearse_alias_rejects_as_simulate_does(alone: Alone) -> None:
     simulated = alone.run("simulate", "no-such-day")
     rehearsed = alone.run("rehearse", "no-such-day")
     assert simulated.returncode == 2
--- a/tests/cli/test_ledger.py
+++ b/tests/cli/test_ledger.py
@@ -13,30 +13,32 @@
 
 
 @pytest.fixture
-def whole_records() -> bytes:
+def complete_records() -> bytes:
     messages = [StoredMessage(n, f"j{n}", 0, n, None, None, 10**18, b"") for n in range(5)]
     return b"".join(MessageSubmitted(message).encode() for message in messages)
 
 
 @pytest.fixture
-def log(tmp_path: Path, whole_records: bytes) -> Path:
+def log(tmp_path: Path, complete_records: bytes) -> Path:
     path = tmp_path / "journal"
-    path.write_bytes(whole_records + MessageFinished(1, None).encode()[:-3])
+    path.write_bytes(complete_records + MessageFinished(1, None).encode()[:-3])
     return path
 
 
-def test_verify_names_the_byte(alone: Alone, log: Path, whole_records: bytes) -> None:
+def test_verify_reports_byte_of_torn_record(alone: Alone, log: Path, complete_records: bytes) -> None:
     run = alone.run("ledger", "verify", str(log), "--json")
     assert run.returncode == 1
-    assert orjson.loads(run.stdout)["byte"] == len(whole_records)
+    assert orjson.loads(run.stdout)["byte"] == len(complete_records)
 
 
-def test_verify_takes_a_state_directory(alone: Alone, log: Path, whole_records: bytes) -> None:
+def test_verify_accepts_a_state_directory(alone: Alone, log: Path, complete_records: bytes) -> None:
     run = alone.run("ledger", "verify", str(log.parent))
-    assert f"byte {len(whole_records)}: torn" in run.stdout
+    assert f"byte {len(complete_records)}: torn" in run.stdout
 
 
-def test_show_lists_what_is_whole_and_changes_nothing(alone: Alone, log: Path, whole_records: bytes) -> None:
+def test_show_lists_complete_records_without_changes(
+    alone: Alone, log: Path, complete_records: bytes
+) -> None:
     before = log.read_bytes()
     shown = alone.run("ledger", "show", str(log.parent))
     assert shown.returncode == 0
--- a/tests/cli/test_standalone.py
+++ b/tests/cli/test_standalone.py
@@ -21,7 +21,7 @@
 from ashpath.server.timers import stored_time
 
 
-def test_clients_ask_for_final_outcomes(alone: Alone) -> None:
+def test_status_api_reports_final_outcomes_across_kill(alone: Alone) -> None:
     """In each state, over a kill too; a message that was never submitted is not known."""
     alone.rest += '[notices]\nfile = "notices.jsonl"\n'
     alone.destinations[6] = 'endpoints = ["127.0.0.1:1"]'
@@ -46,17 +46,17 @@
     assert alone.get("/envelopes/late")["again_ms"] >= 1000
     assert alone.get("/envelopes/never") == 404
     assert alone.submit("hangs", "tag", "200", 1) == 409
-    held = alone.get("/envelopes")["envelopes"]
-    assert [(row["id"], row["state"], row["track"]) for row in held] == [("hangs", "out", "tag")]
+    live_messages = alone.get("/envelopes")["envelopes"]
+    assert [(row["id"], row["state"], row["track"]) for row in live_messages] == [("hangs", "out", "tag")]
     alone.kill()
     alone.start()
     until(alone.ends("hangs", "completed"))
     states = {"done": "completed", "lost": "undeliverable", "late": "deferred"}
     assert {trace: alone.state(trace) for trace in states} == states
-    told = [orjson.loads(line) for line in (alone.folder / "notices.jsonl").read_bytes().splitlines()]
+    notified = [orjson.loads(line) for line in (alone.folder / "notices.jsonl").read_bytes().splitlines()]
     states.pop("done")
-    assert {line["id"]: line["status"] for line in told} == states
-    assert len(told) == 2
+    assert {line["id"]: line["status"] for line in notified} == states
+    assert len(notified) == 2
     for path, status in (
         ("/envelopes?after=x", 400),
         ("/destinations?after=99", {"destinations": []}),
@@ -66,7 +66,7 @@
         assert alone.get(path) == status
 
 
-def test_reload_under_live_messages(alone: Alone) -> None:
+def test_reload_preserves_live_messages(alone: Alone) -> None:
     """Of 200: endpoints replaced; a destination with attempts and a traffic class in use removed."""
     alone.destinations[5] = 'endpoints = ["127.0.0.1:1"]'  # nothing there: what is for it waits
     alone.destinations[4] = 'endpoints = ["127.0.0.1:1", "127.0.0.1:2"]'
@@ -106,7 +106,7 @@
     assert {row["number"]: row["limit"] for row in alone.get("/destinations")["destinations"]}[4] == 2
 
 
-def test_a_traffic_class_that_is_gone_at_the_next_start(alone: Alone) -> None:
+def test_live_messages_keep_removed_traffic_class_after_restart(alone: Alone) -> None:
     """Live messages keep the settings they were accepted under, whatever became of their traffic class."""
     alone.destinations[5] = 'endpoints = ["127.0.0.1:1"]'
     alone.write()
@@ -135,31 +135,31 @@
     assert names == ["tag", "once"], "numbers begin anew once nothing is held"
 
 
-def test_state_directories_of_others_are_refused_unchanged(alone: Alone, tmp_path: Path) -> None:
+def test_foreign_state_directory_is_refused_unchanged(alone: Alone, tmp_path: Path) -> None:
     """Each is one line and exit code 2, and nothing in the directory changes."""
     alone.start()
     alone.destinations[0] = "endpoints = []"
     alone.write()
-    before = contents(tmp_path / "state")
+    before = directory_contents(tmp_path / "state")
     run = alone.run("serve", str(alone.file))
     assert run.returncode == 2, run.stderr
     assert run.stderr.count("\n") == 1, run.stderr
     assert f"in use by another sender, process {alone.process and alone.process.pid}" in run.stderr
-    assert contents(tmp_path / "state") == before
+    assert directory_contents(tmp_path / "state") == before
     alone.kill()
     state, imprint = tmp_path / "state", tmp_path / "state" / "imprint"
-    good = imprint.read_bytes()
-    spoilt = {b'"version":1': b'"version":2', b'"n0"': b'"n1"', b"{": b""}
-    for old, new in spoilt.items():
-        imprint.write_bytes(good.replace(old, new, 1))
-        refused(alone, "imprint")
-    imprint.write_bytes(good)
+    valid_imprint = imprint.read_bytes()
+    corruptions = {b'"version":1': b'"version":2', b'"n0"': b'"n1"', b"{": b""}
+    for old, new in corruptions.items():
+        imprint.write_bytes(valid_imprint.replace(old, new, 1))
+        assert_start_refused(alone, "imprint")
+    imprint.write_bytes(valid_imprint)
     entry = StoredMessage(1, "a", 0, 1, None, None, stored_time() + 10**9, b"")
     (state / "journal").write_bytes(encode_fields(["renamed", 1]))
-    refused(alone, "not a record of this version")
+    assert_start_refused(alone, "not a record of this version")
     imprint.unlink()
     (state / "journal").write_bytes(MessageSubmitted(entry).encode())
-    refused(alone, "no imprint")
+    assert_start_refused(alone, "no imprint")
     (tmp_path / "file").write_text("")
     for place in ("file", "file/below", "/proc/nowhere"):
         alone.file.write_text(alone.file.read_text().replace('state = "state"', f'state = "{place}"'))
@@ -167,77 +167,77 @@
         alone.write()
 
 
-def contents(folder: Path) -> dict[str, bytes]:
+def directory_contents(folder: Path) -> dict[str, bytes]:
     """The files of a directory."""
     return {path.name: path.read_bytes() for path in folder.iterdir()}
 
 
-def refused(alone: Alone, words: str) -> None:
+def assert_start_refused(alone: Alone, words: str) -> None:
     """Asserts that the sender does not start, says why, and leaves the state directory as it is."""
-    before = contents(alone.folder / "state")
+    before = directory_contents(alone.folder / "state")
     run = alone.run("serve", str(alone.file))
     assert run.returncode == 2, run.stderr
     assert run.stderr.count("\n") == 1, run.stderr
     assert words in run.stderr
-    assert contents(alone.folder / "state") == before
+    assert directory_contents(alone.folder / "state") == before
 
 
-def test_a_full_disk_and_no_rights_at_the_start(alone: Alone, tmp_path: Path) -> None:
+def test_start_with_full_disk_or_without_permissions(alone: Alone, tmp_path: Path) -> None:
     """A full disk keeps no sender from its start: it accepts nothing, ends what it owes, and live messages
     stay for the next one. Without rights it is one line."""
     alone.start()
     assert alone.submit("kept", "once", "hang", 1) == 202
     until(lambda: alone.attempt_count("kept"))
     alone.kill()
-    held = StateDirectory(tmp_path / "state", "n0")
-    assert held.live_messages() == 1
-    held.close()
+    state_directory = StateDirectory(tmp_path / "state", "n0")
+    assert state_directory.live_messages() == 1
+    state_directory.close()
 
-    def full() -> None:
+    def limit_file_size() -> None:
         resource.setrlimit(resource.RLIMIT_FSIZE, (1, 1))
 
-    alone.start(stdout=PIPE, preexec_fn=full)
+    alone.start(stdout=PIPE, preexec_fn=limit_file_size)
     assert alone.submit("refused", "once", "200", 1) == 503
     until(alone.ends("kept", "undeliverable"))
     alone.kill()
-    held = StateDirectory(tmp_path / "state", "n0")
-    assert held.live_messages() == 1
-    held.close()
-    was, state = os.geteuid(), tmp_path / "state"
+    state_directory = StateDirectory(tmp_path / "state", "n0")
+    assert state_directory.live_messages() == 1
+    state_directory.close()
+    user_id, state = os.geteuid(), tmp_path / "state"
     state.chmod(0)
     try:
-        os.seteuid(was or 65534)  # as a user whom the rights bind
+        os.seteuid(user_id or 65534)  # as a user whom the rights bind
         with pytest.raises(StateDirectoryError, match="Permission denied"):
             StateDirectory(state, "n0")
     finally:
-        os.seteuid(was)
+        os.seteuid(user_id)
         state.chmod(0o700)
     alone.start()
     until(alone.ends("kept", "undeliverable"))
 
 
-def test_a_log_that_nobody_reads_holds_up_nothing(alone: Alone) -> None:
+def test_unread_log_output_does_not_block_sender(alone: Alone) -> None:
     """Standard output is full, then closed: the sender serves on."""
-    out, into = os.pipe()
-    fcntl.fcntl(into, fcntl.F_SETPIPE_SZ, 4096)
-    os.write(into, b"x" * 4096)
-    alone.start(stdout=into)
+    read_end, write_end = os.pipe()
+    fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
+    os.write(write_end, b"x" * 4096)
+    alone.start(stdout=write_end)
     for number in range(60):
         assert alone.submit(f"b{number}", "once", "200", 1) == 202
     until(lambda: all(alone.attempt_count(f"b{number}") == 1 for number in range(60)))
-    read = b""
-    while b"event=ready" not in read:
-        read += os.read(out, 4096)
-    os.close(out)
+    output = b""
+    while b"event=ready" not in output:
+        output += os.read(read_end, 4096)
+    os.close(read_end)
     assert alone.process is not None
     alone.process.send_signal(signal.SIGHUP)  # a line that nobody can read any more
     assert alone.submit("after", "once", "200", 1) == 202
     until(alone.ends("after", "completed"))
-    os.close(into)
+    os.close(write_end)
     assert alone.process.poll() is None
 
 
-def test_closed_standard_streams_are_opened_on_nothing(alone: Alone) -> None:
+def test_closed_standard_streams_are_opened_on_dev_null(alone: Alone) -> None:
     """No file of the sender may get the number of standard output."""
     alone.start(stdout=None, preexec_fn=lambda: os.closerange(0, 3))
     assert alone.submit("c", "once", "200", 1) == 202
@@ -250,7 +250,7 @@
         assert not reader.fault
 
 
-def test_secrets_stay_out_of_the_log(alone: Alone) -> None:
+def test_secrets_are_not_written_to_log(alone: Alone) -> None:
     """A secret goes with attempts and notifications, never into a line; a missing one is named, not shown."""
     alone.destinations[1] += '\nauthorization = { env = "ASHPATH_TEST_PASS" }'
     receiver = f"http://127.0.0.1:{alone.servers[1].server_port}/v1/notices"
--- a/tests/cli/test_submit.py
+++ b/tests/cli/test_submit.py
@@ -15,7 +15,7 @@
         ("200", "free", "6", 3, "deferred"),
     ],
 )
-def test_wait_follows_a_message_to_its_outcome(
+def test_wait_follows_message_to_final_outcome(
     alone: Alone,
     url: str,
     body: str,
@@ -35,7 +35,7 @@
     assert orjson.loads(run.stdout)["state"] == state
 
 
-def test_a_message_is_accepted_from_standard_input(alone: Alone, url: str) -> None:
+def test_body_is_read_from_standard_input(alone: Alone, url: str) -> None:
     alone.start()
     arguments = ["--to", "1", "--track", "tag", "--body", "-", "--id", "h"]
     run = alone.run("submit", "--url", url, *arguments, input="hang")
--- a/tests/config/test_changes.py
+++ b/tests/config/test_changes.py
@@ -11,7 +11,7 @@
 from ashpath.config.loading import read_configuration
 
 # A change of the file's text, what SIGHUP takes of it, and what waits for the next start.
-CHANGED = """
+CHANGES = """
     "10.1.0.18:7070"  ~ "10.1.0.20:7070" ~ destinations.7.endpoints ~
     slots = 8         ~ slots = 9        ~ rules.slots              ~
     [destinations.7]  ~ [logging]@level = "debug"@[destinations.7] ~ logging.level ~
@@ -25,8 +25,8 @@
 """
 
 
-@pytest.mark.parametrize("row", CHANGED.strip().splitlines())
-def test_changes(tmp_path: Path, row: str) -> None:
+@pytest.mark.parametrize("row", CHANGES.strip().splitlines())
+def test_reload_applies_reloadable_keys_only(tmp_path: Path, row: str) -> None:
     before, after, applied, at_next_start = (part.strip() for part in row.split("~"))
     old = read_configuration(write_file(tmp_path, TEXT))
     new = read_configuration(write_file(tmp_path, TEXT.replace(before, after.replace("@", "\n"), 1)))
--- a/tests/config/test_loading.py
+++ b/tests/config/test_loading.py
@@ -15,7 +15,7 @@
 from ashpath.config.platform_form import platform_form
 from ashpath.core.policy_settings import sender_settings
 
-HOSTILE = [
+MALFORMED_FILES = [
     b"",
     b"\xff\xfe",
     b"a = " + b"9" * 5000,
@@ -31,24 +31,24 @@
 ]
 
 
-@pytest.mark.parametrize("data", HOSTILE, ids=range(len(HOSTILE)))
-def test_hostile_files(tmp_path: Path, data: bytes) -> None:
+@pytest.mark.parametrize("data", MALFORMED_FILES, ids=range(len(MALFORMED_FILES)))
+def test_malformed_file_is_reported_with_line_numbers(tmp_path: Path, data: bytes) -> None:
     lines = fault_lines(tmp_path, data)
     assert lines
     assert all(re.match(r":[0-9]+: ", line) for line in lines), lines
 
 
-def test_a_long_value_is_cut(tmp_path: Path) -> None:
+def test_long_value_is_truncated_in_fault(tmp_path: Path) -> None:
     assert fault_lines(tmp_path, TEXT.replace("8", "9" * 300, 1))[0].count("9") < 60
 
 
-@pytest.mark.parametrize("place", [".", "none", "/dev/null/x"])
-def test_a_path_that_is_no_file(tmp_path: Path, place: str) -> None:
+@pytest.mark.parametrize("path_name", [".", "none", "/dev/null/x"])
+def test_path_that_is_no_file_is_rejected(tmp_path: Path, path_name: str) -> None:
     with pytest.raises(InvalidConfigurationError):
-        read_configuration(tmp_path / place)
+        read_configuration(tmp_path / path_name)
 
 
-PIECES = st.sampled_from(
+INSERTED_BYTES = st.sampled_from(
     [
         b"=",
         b"[",
@@ -73,23 +73,23 @@
         b"x = 1",
     ]
 )
-CHANGES = st.lists(
-    st.tuples(st.sampled_from(["cut", "put", "double", "drop"]), st.integers(0, 10_000), PIECES),
+MUTATIONS = st.lists(
+    st.tuples(st.sampled_from(["cut", "put", "double", "drop"]), st.integers(0, 10_000), INSERTED_BYTES),
     min_size=1,
     max_size=4,
 )
 
 
-def mutated(data: bytes, steps: list[tuple[str, int, bytes]]) -> bytes:
-    for how, where, piece in steps:
-        at = where % (len(data) + 1)
+def apply_mutations(data: bytes, steps: list[tuple[str, int, bytes]]) -> bytes:
+    for operation, position, piece in steps:
+        at = position % (len(data) + 1)
         line = data.rfind(b"\n", 0, at) + 1
         end = (data.find(b"\n", at) + 1) or len(data)
-        if how == "cut":
-            data = data[:at] + data[at + 1 + where % 7 :]
-        elif how == "put":
+        if operation == "cut":
+            data = data[:at] + data[at + 1 + position % 7 :]
+        elif operation == "put":
             data = data[:at] + piece + data[at:]
-        elif how == "double":
+        elif operation == "double":
             data = data[:end] + data[line:end] + data[end:]
         else:
             data = data[:line] + data[end:]
@@ -103,10 +103,10 @@
     database=None,
     suppress_health_check=[HealthCheck.function_scoped_fixture, HealthCheck.too_slow],
 )
-@given(CHANGES)
-def test_mutated_files(tmp_path: Path, steps: list[tuple[str, int, bytes]]) -> None:
+@given(MUTATIONS)
+def test_mutated_file_loads_or_names_faulty_line(tmp_path: Path, steps: list[tuple[str, int, bytes]]) -> None:
     """Whatever becomes of a file: it is sound, or each line names the file and a line of it. No traceback."""
-    path = write_file(tmp_path, mutated(EXAMPLE.read_bytes(), steps))
+    path = write_file(tmp_path, apply_mutations(EXAMPLE.read_bytes(), steps))
     try:
         found = read_configuration(path)
     except InvalidConfigurationError as error:
@@ -117,5 +117,5 @@
         sender_settings(1, platform_form(found, "1")["settings"])  # what is sound makes a sender's settings
 
 
-def test_example_is_sound() -> None:
+def test_example_file_is_valid() -> None:
     assert list(read_configuration(EXAMPLE).traffic_classes) == ["check-status", "check-result"]
--- a/tests/config/test_platform_form.py
+++ b/tests/config/test_platform_form.py
@@ -52,18 +52,18 @@
 }
 
 
-def test_same_settings_as_the_platform(tmp_path: Path) -> None:
+def test_file_gives_same_settings_as_platform_json(tmp_path: Path) -> None:
     """One place for each rule: the file gives what the platform's JSON of the same meaning gives."""
     form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     settings = sender_settings(0x8C1F, PLATFORM_SETTINGS)
     assert sender_settings(int(form["seed"], 16), form["settings"]) == settings
 
 
-def test_same_limits_as_the_platform(tmp_path: Path) -> None:
+def test_file_gives_same_limits_as_platform_json(tmp_path: Path) -> None:
     form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     settings = sender_settings(0x8C1F, PLATFORM_SETTINGS)
-    theirs = ServerLimits.of({"sockets": 1024, "disk_mb": 3.0}, settings)
-    ours = ServerLimits.of(form["limits"], settings)
+    platform_limits = ServerLimits.of({"sockets": 1024, "disk_mb": 3.0}, settings)
+    file_limits = ServerLimits.of(form["limits"], settings)
     for name in (
         "client_connections",
         "endpoint_connections",
@@ -71,10 +71,10 @@
         "connect_s",
         "endpoint_idle_s",
     ):
-        assert getattr(ours, name) == getattr(theirs, name), name
+        assert getattr(file_limits, name) == getattr(platform_limits, name), name
 
 
-def test_endpoint_list(tmp_path: Path) -> None:
+def test_endpoint_list_has_ids_and_phases(tmp_path: Path) -> None:
     form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     assert [row["id"] for row in form["known"]["members"]] == ["7@10.1.0.18:7070", "second"]
     assert [row["phase"] for row in form["known"]["members"]] == ["up", "draining"]
