--- a/ashpath/config/__init__.py
+++ b/ashpath/config/__init__.py
@@ -1,7 +1,7 @@
-"""The sender's own TOML file: its shape, parsing, validation, reference page, and what a changed file means.
+"""The sender's own TOML file: schema, parsing, validation, reference page, and the effect of a reload.
 
-Called by `cli`, which starts a standalone sender or answers a user from it, and by the emulator, whose
-scenario files go through the same validation. It hands the sender the platform's form of the file, so that
-each setting is interpreted in one place. It never opens a socket, only `loading` opens a file, and a sender
-that a platform starts never imports it.
+`cli` calls this package to start a standalone sender or to answer a user's question about the file. The
+emulator validates its scenario files with it. The file is converted to the platform's form, so that each
+setting is interpreted in one place. The package never opens a socket, only `loading` opens a file, and a
+sender that a platform starts never imports the package.
 """
--- a/ashpath/config/changes.py
+++ b/ashpath/config/changes.py
@@ -1,4 +1,7 @@
-"""What differs between two versions of the sender's file, and what of it a reload applies. No I/O."""
+"""Finds the keys that differ between two versions of the sender's file, and those that a reload applies.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -14,26 +17,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanges:
-    """The paths of the keys that differ."""
+    """The paths of the keys that differ, by the time at which a change takes effect."""
 
     applied: list[str]
-    """A running sender takes these over."""
+    """Keys whose change a running sender applies."""
     at_next_start: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """The value of one key."""
+    """The value of one key, and whether a reload applies a change of it."""
 
     value: object
     reloadable: bool
 
 
 def find_changes(old: Configuration, new: Configuration) -> ConfigurationChanges:
-    """What differs, in the order of the file.
+    """Returns the keys that differ, in the order of the file.
 
-    A list of destinations cannot take the place of a platform while the sender runs, nor the other way round,
-    nor a notification file that of an address.
+    A running sender cannot replace a platform with a list of destinations or vice versa, nor replace a
+    notification address with a file or vice versa.
     """
     before = dict(flatten(old, "", reloadable=False))
     after = dict(flatten(new, "", reloadable=False))
@@ -49,7 +52,10 @@
 
 
 def tables_fixed_until_restart(old: Configuration, new: Configuration) -> tuple[str, ...]:
-    """The tables of which a reload applies nothing, as the file changed what stands in for what."""
+    """Returns the tables whose changes need a restart.
+
+    These are the tables of the endpoint list or of notifications if their source or target changed in kind.
+    """
     fixed: tuple[str, ...] = ()
     if (old.platform is None) != (new.platform is None):
         fixed += ("platform", "destinations")
@@ -59,7 +65,7 @@
 
 
 def flatten(value: object, path: str, *, reloadable: bool) -> Iterator[tuple[str, Setting]]:
-    """Every key that is given or has a default, by its path."""
+    """Yields the path and the setting of every key that is given or has a default."""
     if isinstance(value, dict):
         for name, row in value.items():
             yield from flatten(row, f"{path}.{name}", reloadable=reloadable)
--- a/ashpath/config/constraints.py
+++ b/ashpath/config/constraints.py
@@ -1,4 +1,4 @@
-"""What each key of the sender's file allows alone and the file cannot have together. No I/O."""
+"""Checks constraints of the sender's file that the types and bounds of its keys do not express. No I/O."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 HEXADECIMAL_DIGITS = frozenset("0123456789abcdefABCDEF")
 MAX_ENDPOINT_ID_LENGTH = 200
-MIN_BODIES_ON_DISK = 4  # the write-ahead log must have room for so many of the longest bodies
+MIN_BODIES_ON_DISK = 4  # bodies of the maximum size that the write-ahead log must have room for
 
 
 def find_conflicts(configuration: Configuration) -> list[ConfigurationFault]:
-    """All faults between keys, in the order in which they are shown."""
+    """Returns all violated constraints, in the order in which they are shown."""
     return [
         *sender_conflicts(configuration),
         *time_conflicts(configuration),
@@ -27,7 +27,7 @@
 
 
 def sender_conflicts(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """Where destinations come from, and the sender's own table."""
+    """Checks the source of destinations, and the sender's own table."""
     sender = configuration.sender
     if configuration.platform is not None and configuration.destinations:
         yield ConfigurationFault(
@@ -44,7 +44,7 @@
 
 
 def time_conflicts(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """Times of traffic classes, and the room on disk."""
+    """Checks the times of traffic classes, and the size of the write-ahead log."""
     for name, traffic_class in configuration.traffic_classes.items():
         yield from traffic_class_conflicts(
             ("tracks", name), traffic_class, configuration.rules.connect_timeout
@@ -52,21 +52,21 @@
     limits = configuration.limits
     if limits.disk < MIN_BODIES_ON_DISK * limits.body:
         yield ConfigurationFault(
-            ("limits", "disk"), format_amount(limits.disk, SIZES), "four of limits.body or more"
+            ("limits", "disk"), format_amount(limits.disk, SIZES), "at least four times limits.body"
         )
 
 
 def traffic_class_conflicts(
     path: KeyPath, traffic_class: TrafficClass, connect_timeout: Duration
 ) -> Iterator[ConfigurationFault]:
-    """One traffic class."""
+    """Checks the times of one traffic class."""
     objective = traffic_class.latency_objective
     window = format_amount(traffic_class.deduplication_window, TIMES)
     if objective is not None and objective > traffic_class.deadline:
         upper_bound = f"at most cutoff, {format_amount(traffic_class.deadline, TIMES)}"
         yield ConfigurationFault((*path, "promised"), format_amount(objective, TIMES), upper_bound)
     if traffic_class.retry_safety == "tagged":
-        # The last moment to retry is the window's end less the time that a connection may take.
+        # A retry starts at least connect_timeout before the window ends: a shorter window allows none.
         if traffic_class.deduplication_window <= connect_timeout:
             lower_bound = f"over rules.connect_time, {format_amount(connect_timeout, TIMES)}"
             yield ConfigurationFault((*path, "window"), window, lower_bound)
@@ -75,7 +75,7 @@
 
 
 def destination_conflicts(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """Kinds that are not there, and endpoint ids that are listed twice or cannot be used."""
+    """Checks that kinds exist, and that endpoint ids are unique and usable."""
     listed_under: dict[str, int] = {}
     for number, destination in configuration.destinations.items():
         path = ("destinations", str(number))
@@ -88,7 +88,7 @@
 def endpoint_conflicts(
     path: KeyPath, number: int, destination: Destination, listed_under: dict[str, int]
 ) -> Iterator[ConfigurationFault]:
-    """The endpoints of one destination; `listed_under` has the destinations of all ids so far."""
+    """Checks the endpoints of one destination; `listed_under` maps each id seen so far to its destination."""
     for index, endpoint in enumerate(endpoints_as_tables(destination)):
         id_ = endpoint_id(number, endpoint)
         if id_ in listed_under:
@@ -99,13 +99,13 @@
             yield ConfigurationFault(
                 (*path, "endpoints", index, "id"),
                 ascii(id_)[:MAX_SHOWN_LENGTH],
-                f"{MAX_ENDPOINT_ID_LENGTH} printable characters",
+                f"at most {MAX_ENDPOINT_ID_LENGTH} printable characters",
             )
         listed_under[id_] = number
 
 
 def notification_conflicts(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """The receiver of notifications."""
+    """Checks the receiver of notifications."""
     notifications = configuration.notifications
     if notifications.address and notifications.file:
         yield ConfigurationFault(
@@ -120,7 +120,7 @@
 
 
 def peer_conflicts(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """The other senders."""
+    """Checks that the peers include a sender other than this one."""
     peers = configuration.peers
     if peers is not None and set(peers.senders) <= {peers.listen}:
         yield ConfigurationFault(
@@ -129,7 +129,7 @@
 
 
 def rate_conflicts(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """Rates that are said to be listed, and are not."""
+    """Checks that at least one rate is listed if `rules.rates` is true and no platform lists rates."""
     if not configuration.rules.has_listed_rates or configuration.platform is not None:
         return
     if not any(has_rate(destination) for destination in configuration.destinations.values()):
@@ -139,5 +139,5 @@
 
 
 def has_rate(destination: Destination) -> bool:
-    """Whether a rate stands at the destination or at one of its endpoints."""
+    """Returns whether the destination or one of its endpoints has a rate."""
     return bool(destination.rate) or any(endpoint.rate for endpoint in endpoints_as_tables(destination))
--- a/ashpath/config/endpoints.py
+++ b/ashpath/config/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that the file lists under its destinations."""
+"""The endpoints that the file lists under a destination."""
 
 from __future__ import annotations
 
@@ -6,10 +6,14 @@
 
 
 def endpoints_as_tables(destination: Destination) -> list[Endpoint]:
-    """Its endpoints, each as a table."""
+    """Returns the endpoints of a destination; an address alone becomes a table with defaults."""
     return [item if isinstance(item, Endpoint) else Endpoint(item) for item in destination.endpoints]
 
 
 def endpoint_id(number: int, endpoint: Endpoint) -> str:
-    """An endpoint's id: an address that another destination lists too is another endpoint."""
+    """Returns the id of an endpoint.
+
+    A default id includes the destination's number, as two destinations that list the same address have two
+    distinct endpoints there.
+    """
     return endpoint.id or f"{number}@{endpoint.address}"
--- a/ashpath/config/errors.py
+++ b/ashpath/config/errors.py
@@ -1,4 +1,4 @@
-"""What this package raises."""
+"""Exceptions of this package."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class InvalidAmountError(ValueError):
-    """A text that is no duration or size."""
+    """A value is no duration or size with a unit."""
 
     def __init__(self) -> None:
-        super().__init__("no amount with a unit")
+        super().__init__("expected a number with a unit")
 
 
 class InvalidAddressError(ValueError):
-    """A text that is no host and port."""
+    """A value is no host with a port."""
 
     def __init__(self) -> None:
-        super().__init__("no address")
+        super().__init__("expected an IPv4 address or a host name with a port")
 
 
 class InvalidNameError(ValueError):
-    """A text that cannot stand in a header, a log line and a path."""
+    """A value cannot be part of a header, a log line and a path."""
 
     def __init__(self) -> None:
-        super().__init__("no word")
+        super().__init__("expected 1 to 64 printable characters without spaces, quotes or slashes")
 
 
 class InvalidDocumentError(ValueError):
-    """Tables that do not have the shape they should have, with every fault found in them."""
+    """The tables of a file do not match the schema; `faults` has every fault that was found."""
 
     def __init__(self, faults: Sequence[ConfigurationFault]) -> None:
         super().__init__(faults)
@@ -37,7 +37,7 @@
 
 
 class InvalidConfigurationError(ValueError):
-    """A file that cannot be used; `lines` say what is wrong, each with file, line and key."""
+    """A file cannot be used; each of `lines` describes one fault, with file, line and key where known."""
 
     def __init__(self, lines: Sequence[str]) -> None:
         super().__init__(lines)
--- a/ashpath/config/faults.py
+++ b/ashpath/config/faults.py
@@ -1,21 +1,21 @@
-"""One thing that is wrong with a file, and how it is shown on one line."""
+"""One fault of a file, and the texts that show it on one line."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-MAX_SHOWN_LENGTH = 48  # characters of what was found
-MAX_SHOWN_BITS = 200  # of a whole number
+MAX_SHOWN_LENGTH = 48  # characters of the value that was found
+MAX_SHOWN_BITS = 200  # of a whole number; `str` raises ValueError for a number of more than 4300 digits
 BARE_KEY = re.compile(r"[A-Za-z0-9_-]+")
 
 KeyPath = tuple[str | int, ...]
-"""Names of tables and keys, and positions in lists, from the top of the file."""
+"""Names of tables and keys, and indexes of list items, from the top of the file."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationFault:
-    """Where something is wrong, what stands there, and what should."""
+    """The path of a faulty key, a description of the value found there, and of the values expected."""
 
     path: KeyPath
     found: str
@@ -23,7 +23,7 @@
 
 
 def format_path(path: KeyPath) -> str:
-    """The path as it is written in a file.
+    """Returns the path in the notation of a TOML file, with list indexes in brackets.
 
     >>> format_path(("destinations", "7", "endpoints", 0, "address"))
     'destinations.7.endpoints[0].address'
@@ -39,12 +39,12 @@
 
 
 def shorten(text: str) -> str:
-    """The text, cut to what one line has room for."""
+    """Returns the text, truncated to MAX_SHOWN_LENGTH characters."""
     return text if len(text) <= MAX_SHOWN_LENGTH else f"{text[: MAX_SHOWN_LENGTH - 1]}…"
 
 
 def describe_value(value: object) -> str:
-    """What was found, as one line can hold it."""
+    """Returns a short description of a value, which fits on one line."""
     if isinstance(value, dict):
         return "a table"
     if isinstance(value, list):
--- a/ashpath/config/loading.py
+++ b/ashpath/config/loading.py
@@ -1,4 +1,4 @@
-"""Reads the sender's file, and the secrets that it points to. All that is wrong is said at once."""
+"""Reads the sender's file, and the secrets that it points to. All faults of a file are reported together."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 MAX_FILE_BYTES = 64 << 20
 MAX_SECRET_LENGTH = 4096  # characters
-MAX_FAULTS = 200  # that are shown; the rest is counted
+MAX_FAULTS = 200  # faults shown; the last line counts the others
 INVALID_SECRET = "found something else, expected printable ASCII"
 TOML_POSITION = re.compile(r" \(at line ([0-9]+), column [0-9]+\)$")
 
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """The secrets themselves, as the header Authorization has them."""
+    """The values of the header Authorization for notifications and for calls."""
 
     notifications: bytes
-    """Empty where none is named."""
+    """Empty if the file names none."""
     destinations: dict[int, bytes]
-    """By the number of the destination."""
+    """By destination number."""
 
 
 def read_configuration(path: Path) -> Configuration:
-    """The configuration of a sender's file. Raises InvalidConfigurationError."""
+    """Returns the configuration in a sender's file. Raises InvalidConfigurationError."""
     return read_and_validate(path, Configuration, find_conflicts)
 
 
@@ -48,7 +48,7 @@
     struct_type: type[StructType],
     find_faults: Callable[[StructType], Sequence[ConfigurationFault]],
 ) -> StructType:
-    """What a file of some shape says; `find_faults` finds what does not go together.
+    """Returns the contents of a file as the given struct; `find_faults` checks constraints between keys.
 
     Raises InvalidConfigurationError.
     """
@@ -65,12 +65,12 @@
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """The tables of a file, whatever they are. Raises InvalidConfigurationError."""
+    """Returns the tables of a file without validation. Raises InvalidConfigurationError."""
     return parse_toml(path, read_bytes(path))
 
 
 def read_bytes(path: Path) -> bytes:
-    """The file, if it is not too long. Raises InvalidConfigurationError."""
+    """Returns the contents of a file of at most MAX_FILE_BYTES. Raises InvalidConfigurationError."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -82,7 +82,7 @@
 
 
 def parse_toml(path: Path, data: bytes) -> dict[str, Any]:
-    """The tables of a file's text. Raises InvalidConfigurationError."""
+    """Returns the tables of a TOML text. Raises InvalidConfigurationError."""
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -99,13 +99,13 @@
     except (ValueError, RecursionError, OverflowError) as error:
         from ashpath.config.positions import longest_line
 
-        problem = "tables or lists too deep" if isinstance(error, RecursionError) else str(error)
+        problem = "tables or lists nested too deeply" if isinstance(error, RecursionError) else str(error)
         fault = f"{path}:{longest_line(text)}: not TOML: {shorten(problem)}"
         raise InvalidConfigurationError([fault]) from error
 
 
 def fault_lines(path: Path, data: bytes, faults: Sequence[ConfigurationFault]) -> list[str]:
-    """A line for each fault, with the line of the file that it stands at."""
+    """Returns one line of text per fault, with the path of the file and the line number of the fault."""
     from ashpath.config.positions import KeyPositions
 
     positions = KeyPositions(data)
@@ -120,7 +120,7 @@
 
 
 def read_credentials(path: Path, configuration: Configuration) -> Credentials:
-    """The secrets that a file names. Raises InvalidConfigurationError."""
+    """Returns the secrets that a file names. Raises InvalidConfigurationError."""
     notifications = configuration.notifications.authorization
     destinations = {
         number: read_secret(path, f"destinations.{number}.authorization", destination.authorization)
@@ -133,9 +133,9 @@
 
 
 def read_secret(path: Path, key: str, secret: Secret) -> bytes:
-    """The secret itself; raises InvalidConfigurationError, without a word of what was read.
+    """Returns a secret. Raises InvalidConfigurationError, whose text contains no part of the secret.
 
-    For the same reason the error has no cause: that of a decoder holds the bytes.
+    The error is raised without a cause, as the exception of a decoder holds the bytes that were read.
     """
     try:
         text = secret_text(path, secret)
@@ -153,12 +153,12 @@
 
 
 def secret_text(path: Path, secret: Secret) -> str:
-    """The text in the variable or file that is named; KeyError where the variable is not there."""
+    """Returns the text of the environment variable or file. Raises KeyError if the variable is not set."""
     if secret.env:
         return os.environ[secret.env]
     return (path.parent / secret.file).read_text("ascii").rstrip("\r\n")
 
 
 def error_reason(error: Exception) -> str:
-    """Why a file cannot be read, without its name."""
+    """Returns why a file cannot be read, without its path."""
     return getattr(error, "strerror", None) or str(error)
--- a/ashpath/config/platform_form.py
+++ b/ashpath/config/platform_form.py
@@ -1,7 +1,7 @@
-"""Writes the sender's own file in the platform's form, so that each setting is interpreted in one place.
+"""Converts the sender's own file to the platform's form, so that each setting is interpreted in one place.
 
-The settings are built as the same structs that `core/platform_settings.py` parses; their JSON names stand
-there. The rest of the form is what a platform's file has around the settings.
+The settings are built as the same structs that `core/platform_settings.py` parses, which define the JSON
+names. The rest of the form is what a platform's file has around the settings.
 """
 
 from __future__ import annotations
@@ -39,12 +39,15 @@
 PLATFORM_RETRY_SAFETY_NAMES: dict[str, RetrySafetyName] = {
     FILE_RETRY_SAFETY_NAMES[retry_safety]: name for name, retry_safety in RETRY_SAFETY.items()
 }
-NOTIFICATION_PATH = "/v1/notices"  # of a platform
-MICROSECONDS_PER_SECOND = 1_000_000  # microseconds
+NOTIFICATION_PATH = "/v1/notices"  # on the platform's address
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def platform_form(configuration: Configuration, seed: str) -> JsonObject:
-    """What a platform's file would hold, and beside it what only the sender's own file has (`own` limits)."""
+    """Returns the document of a platform's file.
+
+    The table `own` of `limits` is an addition, with the limits that only the sender's own file sets.
+    """
     return {
         "seed": seed,
         "settings": msgspec.to_builtins(platform_settings(configuration)),
@@ -61,7 +64,7 @@
 
 
 def platform_settings(configuration: Configuration) -> PlatformSettings:
-    """The settings."""
+    """Returns the settings of the sender."""
     rules = configuration.rules
     zones = zone_names(configuration)
     costs = {str(name): zone.cost for name, zone in configuration.zones.items() if zone.cost}
@@ -86,7 +89,7 @@
 
 
 def traffic_class_row(name: str, traffic_class: TrafficClass) -> TrafficClassRow:
-    """One traffic class."""
+    """Returns the settings of one traffic class."""
     objective = traffic_class.latency_objective
     return TrafficClassRow(
         name=str(name),
@@ -102,7 +105,7 @@
 
 
 def platform_limits(configuration: Configuration) -> PlatformLimits:
-    """What the sender may do."""
+    """Returns the limits that the sender keeps."""
     rules = configuration.rules
     return PlatformLimits(
         queue_capacity=configuration.limits.queue_capacity,
@@ -117,7 +120,7 @@
 
 
 def destination_contract(rules: Rules) -> DestinationContract:
-    """What destinations bear."""
+    """Returns the assumptions about the capacity of destinations and about endpoints that drain."""
     return DestinationContract(
         drain_grace=milliseconds(rules.drain_grace),
         initial_capacity_share=rules.initial_capacity_share,
@@ -129,7 +132,7 @@
 
 
 def own_limits(configuration: Configuration) -> dict[str, float]:
-    """Limits of the process that the platform's form has no name for, by the fields of ServerLimits."""
+    """Returns the limits of the process that a platform's file cannot set, by the fields of ServerLimits."""
     limits = configuration.limits
     own = {
         "body_bytes": int(limits.body),
@@ -142,7 +145,8 @@
         "notification_files": configuration.notifications.kept_files,
     }
     if configuration.platform is None:
-        # What the file lacks is not listed: no service discovery is late with a successor.
+        # The file is the complete endpoint list, so no successor is listed late: a destination without
+        # endpoints is forgotten at once.
         own["forget_destination_s"] = 0.0
     if limits.idle_client_connections:
         own["idle_client_connections"] = limits.idle_client_connections
@@ -150,14 +154,14 @@
 
 
 def zone_names(configuration: Configuration) -> list[str]:
-    """Every zone that the file names, each once, in its order."""
+    """Returns every zone that the file names, each once, in the order of the file."""
     endpoints = chain.from_iterable(map(endpoints_as_tables, configuration.destinations.values()))
     names = [*map(str, configuration.zones), *(endpoint.zone for endpoint in endpoints)]
     return list(dict.fromkeys(names)) or [""]
 
 
 def endpoint_list(configuration: Configuration) -> list[JsonObject]:
-    """What the file lists, as service discovery would."""
+    """Returns the endpoints of the file, as rows of an endpoint list from service discovery."""
     first_kind = next(iter(configuration.kinds))
     return [
         {
@@ -175,7 +179,7 @@
 
 
 def notification_target(configuration: Configuration) -> HttpTarget | None:
-    """Where notifications go by HTTP; None where it is a file or nobody."""
+    """Returns the HTTP target of notifications, or None if they go to a file or are not sent."""
     notifications = configuration.notifications
     if notifications.address:
         return parse_http_url(notifications.address)
@@ -185,13 +189,16 @@
 
 
 def file_document(table: msgspec.Struct) -> JsonObject:
-    """A configuration, or a table of it, as a file has it, defaults included, for whoever writes one."""
+    """Returns a configuration, or a table of it, in the form of the file, for callers that write one.
+
+    Defaults are included.
+    """
     rows = {field.encode_name: getattr(table, field.name) for field in msgspec.structs.fields(table)}
     return {name: file_value(row) for name, row in rows.items() if row is not None}
 
 
 def file_value(value: object) -> object:
-    """A value as TOML and JSON have it, with durations and sizes in their units."""
+    """Returns a value as TOML and JSON represent it; durations and sizes become texts with units."""
     if isinstance(value, msgspec.Struct):
         return file_document(value)
     if isinstance(value, dict):
@@ -204,5 +211,5 @@
 
 
 def resolve_path(base: Path, path: str) -> Path:
-    """A path of the file, counted from the file's folder."""
+    """Returns the absolute path; a relative path is resolved against the directory `base`."""
     return (base / path).absolute()
--- a/ashpath/config/positions.py
+++ b/ashpath/config/positions.py
@@ -1,4 +1,7 @@
-"""At which line of a file a key stands: for error lines only, so nothing is loaded until there is one."""
+"""Finds the line of a file at which a key is written.
+
+Only error messages need it, so the TOML syntax parser is imported when the first error is reported.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class KeyPositions:
-    """Where the keys of one file are."""
+    """The line numbers of the keys of one file."""
 
     def __init__(self, data: bytes) -> None:
         import tree_sitter
@@ -22,18 +25,21 @@
         parser = tree_sitter.Parser(tree_sitter.Language(tree_sitter_toml.language()))
         self._lines: dict[KeyPath, int] = {}
         for path, line in document_keys(parser.parse(data).root_node):
-            for depth in range(len(path), 0, -1):  # a table without a head stands where its first part does
+            for depth in range(len(path), 0, -1):  # a table without a header starts at its first key
                 self._lines.setdefault(path[:depth], line)
 
     def line(self, path: KeyPath) -> int:
-        """The line of the key, or of the nearest table that should have it, from 1; 1 where none does."""
+        """Returns the line of the key, or else of the innermost table around it; lines count from 1.
+
+        Returns 1 if the file has none of these tables.
+        """
         while path and path not in self._lines:
             path = path[:-1]
         return self._lines.get(path, 1)
 
 
 def document_keys(root: Node) -> Iterator[tuple[KeyPath, int]]:
-    """Every key and every item of a list with its path and line."""
+    """Yields the path and line of every key and every list item."""
     table_counts: dict[KeyPath, int] = {}
     for node in root.children:
         if node.type == "pair":
@@ -50,7 +56,7 @@
 
 
 def pair_keys(pair: Node, table: KeyPath) -> Iterator[tuple[KeyPath, int]]:
-    """The key of a pair, and those within its value."""
+    """Yields the key of a pair, and the keys within its value."""
     names = [child for child in pair.children if "key" in child.type]
     path = (*table, *(key_parts(names[0]) if names else ()))
     yield path, line_number(pair)
@@ -58,7 +64,7 @@
 
 
 def value_keys(value: Node, path: KeyPath) -> Iterator[tuple[KeyPath, int]]:
-    """The keys and items within a value."""
+    """Yields the keys and list items within a value."""
     if value.type == "inline_table":
         for child in value.children:
             if child.type == "pair":
@@ -71,7 +77,7 @@
 
 
 def key_parts(node: Node) -> KeyPath:
-    """The names of a key, dotted or not, quoted or not."""
+    """Returns the parts of a key, which may be dotted and quoted."""
     if node.type == "dotted_key":
         return tuple(name for child in node.children if "key" in child.type for name in key_parts(child))
     text = (node.text or b"").decode("utf-8", "replace")
@@ -81,11 +87,11 @@
 
 
 def line_number(node: Node) -> int:
-    """From 1."""
+    """Returns the line at which the node starts, counted from 1."""
     return node.start_point[0] + 1
 
 
 def longest_line(text: str) -> int:
-    """The line that a parser most likely choked on where it does not say."""
+    """Returns the number of the longest line, the likeliest cause of a parser error that names no line."""
     lines = text.split("\n")
     return max(range(len(lines)), key=lambda index: len(lines[index])) + 1
--- a/ashpath/config/reference.py
+++ b/ashpath/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference of every key, for `ashpath explain` and docs/configuration.md: made of the schema."""
+"""Generates the reference of every key from the schema, for `ashpath explain` and docs/configuration.md."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ReferenceKey:
-    """One key of the reference."""
+    """The entry of one key in the reference."""
 
     path: str
     expected: str
     default: str
-    """Empty: it must be given."""
+    """Empty if the key is required."""
     reloadable: bool
     doc: str
 
     @property
     def name(self) -> str:
-        """The last part of the path."""
+        """Returns the last part of the path."""
         return self.path.rsplit(".", 1)[-1]
 
 
 @dataclass(frozen=True, slots=True)
 class ReferenceTable:
-    """One table of the reference."""
+    """The section of one table in the reference."""
 
     path: str
     doc: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InnerTable:
-    """A table below another one."""
+    """A table nested in another one."""
 
     struct_type: type[msgspec.Struct]
     path: str
@@ -63,7 +63,7 @@
 def reference_tables(
     struct_type: type[msgspec.Struct] = Configuration, path: str = "", *, reloadable: bool = False
 ) -> Iterator[ReferenceTable]:
-    """Each table of the file; one without keys of its own is left out, and its inner ones are not."""
+    """Yields each table of the file that has keys of its own, before the tables nested in it."""
     keys: list[ReferenceKey] = []
     inner_tables: list[InnerTable] = []
     for name, row in table_keys(struct_type).items():
@@ -80,7 +80,7 @@
 
 
 def inner_table(row: TableKey, path: str, *, reloadable: bool) -> InnerTable | None:
-    """The table that a key holds, by name, in a list, or alone; None where it holds none."""
+    """Returns the table that a key holds, by name, in a list, or alone; None if the key holds no table."""
     hint = alternatives(row.hint)[0]
     if get_origin(hint) is dict:
         name_hint, inner = get_args(hint)
@@ -95,7 +95,7 @@
 
 
 def reference_key(row: TableKey, path: str, *, reloadable: bool) -> ReferenceKey:
-    """One key that is no table."""
+    """Returns the entry of one key."""
     if row.required:
         default = ""
     elif row.has_factory or row.default in (None, ""):
@@ -106,7 +106,7 @@
 
 
 def format_value(value: object) -> str:
-    """A value as a file has it."""
+    """Returns a value as the file represents it."""
     if isinstance(value, Duration):
         return f'"{format_amount(value, TIMES)}"'
     if isinstance(value, Size):
@@ -119,7 +119,7 @@
 
 
 def markdown_page() -> str:
-    """The whole page."""
+    """Returns the text of docs/configuration.md."""
     text = PAGE_HEADER
     for table in reference_tables():
         text += f"\n## `[{table.path}]`\n\n{' '.join(table.doc.split())}\n\n"
@@ -132,7 +132,10 @@
 
 
 def terminal_lines(key_path: str | None) -> list[str]:
-    """Lines for a terminal; of one key, or of all below it. None found: no lines."""
+    """Returns the entries of a key and of all keys below it, or of all keys if the path is None.
+
+    The list is empty if no key has this path.
+    """
     lines = []
     for key in reference_keys():
         if key_path is None or key.path == key_path or key.path.startswith((f"{key_path}.", f"{key_path}[")):
@@ -143,11 +146,11 @@
 
 
 def key_paths() -> list[str]:
-    """Every key's path."""
+    """Returns the path of every key."""
     return [key.path for key in reference_keys()]
 
 
 def reference_keys() -> Iterator[ReferenceKey]:
-    """Every key, table by table."""
+    """Yields the entry of every key, table by table."""
     for table in reference_tables():
         yield from table.keys
--- a/ashpath/config/schema.py
+++ b/ashpath/config/schema.py
@@ -1,8 +1,9 @@
 """The schema of the sender's file: every key with its type, default, bounds, purpose, and whether a reload
 applies it.
 
-A field has the standard term inside the program, and `field(name=...)` gives the key of the file where that
-is another one. Validation, the reference page and the reload all read these rows; nothing else knows a key.
+A field is named by the term that the program uses; `field(name=...)` gives the key of the file where that
+differs. Validation, the reference page and the reload all read these structs; no other module lists the keys.
+The docstrings of the structs and the texts of `Key` appear in docs/configuration.md.
 """
 
 from typing import Annotated, Literal
--- a/ashpath/config/schema_keys.py
+++ b/ashpath/config/schema_keys.py
@@ -1,4 +1,4 @@
-"""Reads the schema: which keys a table may have, of which type, and how that type is named to a user."""
+"""Reads the schema: the keys that a table may have, their types, and how errors and pages name the types."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
     """One key of a table."""
 
     field: str
-    """The name inside the program; the key's own name is the file's."""
+    """The name of the struct's field; the key in the file may have another name."""
     hint: object
-    """The type, with None where the key may be left out."""
+    """The type; a union with None if the key may be left out."""
     key: Key
     required: bool
     default: object
-    """`msgspec.NODEFAULT` where there is none, or a factory makes it."""
+    """`msgspec.NODEFAULT` if the key has no default or a factory creates it."""
     has_factory: bool
 
 
 @cache
 def table_keys(struct_type: type[msgspec.Struct]) -> dict[str, TableKey]:
-    """The keys of a table by their names in the file, in the order of the schema."""
+    """Returns the keys of a table by their names in the file, in the order of the schema."""
     keys = {}
     for field in msgspec.structs.fields(struct_type):
         parts = get_args(field.type) if get_origin(field.type) is Annotated else (field.type, Key(""))
@@ -59,19 +59,19 @@
 
 
 def alternatives(hint: object) -> tuple[object, ...]:
-    """The types that a key may have, without the one for being left out."""
+    """Returns the types that a key may have, without None."""
     if get_origin(hint) not in (Union, UnionType):
         return (hint,)
     return tuple(part for part in get_args(hint) if part is not type(None))
 
 
 def as_table_type(hint: object) -> type[msgspec.Struct] | None:
-    """The type as that of a table; None where it is another."""
+    """Returns the type if it is the struct of a table, else None."""
     return hint if isinstance(hint, type) and issubclass(hint, msgspec.Struct) else None
 
 
 def describe_expected(hint: object, key: Key) -> str:
-    """What a key wants, for a user."""
+    """Returns a user-facing description of the values that a key accepts."""
     hint = alternatives(hint)[0]
     origin = get_origin(hint)
     if origin is Literal:
@@ -84,7 +84,7 @@
 
 
 def format_bounds(hint: object, key: Key) -> str:
-    """The bounds of a key as a user writes them; empty where it has none.
+    """Returns the bounds of a key in the units of the file, or an empty text if the key has none.
 
     >>> format_bounds(Duration, Key("", 1000, 60_000_000)), format_bounds(int, Key("", 1))
     (', from 1ms to 1min', ', from 1')
@@ -99,7 +99,7 @@
 
 
 def format_bound(hint: object, bound: float | None) -> str | None:
-    """One bound in the unit of its type."""
+    """Returns one bound in the unit of its type, or None if there is no bound."""
     if bound is None:
         return None
     units = UNITS.get(hint)
--- a/ashpath/config/schema_types.py
+++ b/ashpath/config/schema_types.py
@@ -1,4 +1,4 @@
-"""What a schema is written with: the row beside each key's type, secrets, and the units of bounds."""
+"""The building blocks of a schema: the description beside each key's type, secrets, and units of bounds."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-# Microseconds of a time, bytes of a size.
+# Times are in microseconds, sizes in bytes.
 MS = 1000
 S = 10**6
 MIN = 60 * S
@@ -19,17 +19,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """What stands beside the type of a key. Bounds are in its unit: microseconds, bytes, counts."""
+    """The description and the bounds of a key, beside its type.
+
+    Bounds are in the unit of the type: microseconds, bytes, characters of a text, entries of a list or table.
+    """
 
     doc: str
     minimum: float | None = None
     maximum: float | None = None
     reloadable: bool = False
-    """A reload (SIGHUP) applies a change; else it waits for the next start."""
+    """Whether a reload (SIGHUP) applies a change; otherwise the change takes effect at the next start."""
 
 
 class Secret(Struct, forbid_unknown_fields=True):
-    """Where a secret is: never in the file itself."""
+    """The environment variable or the file that holds a secret; the secret is never in the sender's file."""
 
     env: str = ""
     file: str = ""
--- a/ashpath/config/units.py
+++ b/ashpath/config/units.py
@@ -1,7 +1,7 @@
-"""Durations, sizes, addresses, names and URLs as people write them.
+"""Parses and formats durations, sizes, addresses, names and URLs as users write them.
 
-A number alone is refused: it would leave the unit to be guessed. Validation turns what the parsers raise, all
-of it ValueError, into a fault of the key.
+A number without a unit is rejected, as the reader would have to guess the unit. Every error that the parsers
+raise is a ValueError, which validation reports as a fault of the key.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from ashpath.config.errors import InvalidAddressError, InvalidAmountError, InvalidNameError
 
 TIMES = {"us": 1, "ms": 1000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000, "d": 86_400_000_000}
-"""Microseconds of each unit."""
+"""Microseconds per unit."""
 SIZES = {"B": 1, "KB": 10**3, "MB": 10**6, "GB": 10**9, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
-"""Bytes of each unit."""
+"""Bytes per unit."""
 AMOUNT = re.compile(r"([0-9]{1,15}(?:\.[0-9]{1,6})?) ?([A-Za-z]+)", re.ASCII)
 HOST = re.compile(r"[A-Za-z0-9]([A-Za-z0-9.-]{0,251}[A-Za-z0-9])?", re.ASCII)
 NAME = re.compile(r"[!-~]{1,64}")
@@ -26,36 +26,36 @@
 
 
 class Duration(int):
-    """Whole microseconds."""
+    """A duration in whole microseconds."""
 
 
 class Size(int):
-    """Bytes."""
+    """A size in bytes."""
 
 
 class Address(str):
-    """Host and port."""
+    """A text of the form HOST:PORT."""
 
 
 class Name(str):
-    """Printable, without spaces: it goes into headers, log lines and paths."""
+    """A printable text without spaces, which can be part of a header, a log line and a path."""
 
 
 class HttpTarget(NamedTuple):
-    """Where requests go."""
+    """The address and path of HTTP requests."""
 
     address: str
     path: str
 
 
 def parse_amount(text: object, units: dict[str, int]) -> int:
-    """The whole amount. Raises InvalidAmountError.
+    """Returns the amount in the smallest unit, rounded. Raises InvalidAmountError.
 
     >>> parse_amount("4s", TIMES), parse_amount("1.5 ms", TIMES), parse_amount("64KiB", SIZES)
     (4000000, 1500, 65536)
     >>> parse_amount("4", TIMES)  # doctest: +ELLIPSIS
     Traceback (most recent call last):
-    ashpath...InvalidAmountError: no amount with a unit
+    ashpath...InvalidAmountError: expected a number with a unit
     """
     match = AMOUNT.fullmatch(text) if isinstance(text, str) else None
     if match is None or match[2] not in units:
@@ -64,7 +64,7 @@
 
 
 def format_amount(value: int, units: dict[str, int]) -> str:
-    """As `parse_amount` reads it back: the largest unit that divides it.
+    """Returns the amount in the largest unit that divides it; `parse_amount` reads the text back.
 
     >>> format_amount(4_000_000, TIMES), format_amount(65536, SIZES), format_amount(0, TIMES)
     ('4s', '64KiB', '0s')
@@ -78,13 +78,13 @@
 
 
 def parse_address(text: object) -> Address:
-    """The text, if it is an IPv4 address or a name with a port. Raises InvalidAddressError, or ValueError.
+    """Returns the text if it is an IPv4 address or a host name with a port, else raises ValueError.
 
     >>> parse_address("127.0.0.1:7070")
     '127.0.0.1:7070'
     >>> parse_address("[::1]:7070")  # doctest: +ELLIPSIS
     Traceback (most recent call last):
-    ashpath...InvalidAddressError: no address
+    ashpath...InvalidAddressError: expected an IPv4 address or a host name with a port
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     has_port = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) <= MAX_PORT
@@ -96,14 +96,14 @@
 
 
 def parse_name(text: object) -> Name:
-    """The text, if it can stand in a header, a log line and a path. Raises InvalidNameError."""
+    """Returns the text if it can be part of a header, a log line and a path, else raises InvalidNameError."""
     if not isinstance(text, str) or not NAME.fullmatch(text) or set(text) & FORBIDDEN_NAME_CHARACTERS:
         raise InvalidNameError
     return Name(text)
 
 
 def parse_http_url(url: str) -> HttpTarget | None:
-    """Address and path of a plain HTTP URL; None where the text is none.
+    """Returns the address and path of a plain HTTP URL, or None if the text is no such URL.
 
     >>> parse_http_url("http://127.0.0.1:9100/ends")
     HttpTarget(address='127.0.0.1:9100', path='/ends')
@@ -127,4 +127,4 @@
     Address: parse_address,
     Name: parse_name,
 }
-"""How a value of the file becomes one of these types; other types are msgspec's to convert."""
+"""The functions that convert a value of the file to these types; msgspec converts the other types."""
--- a/ashpath/config/validation.py
+++ b/ashpath/config/validation.py
@@ -1,8 +1,9 @@
-"""Makes a struct of the schema out of a file's tables, or finds all that is wrong with them at once. No I/O.
+"""Converts the tables of a file to a struct of the schema, or reports all their faults together. No I/O.
 
-Theory of operation: `Validator` walks the tables beside the schema's types and collects faults. msgspec
-converts single values only, as it stops at its first fault. A table with a fault anywhere before it makes no
-struct, and its place holds None; that never leaves here, as `validate` raises where there is a fault.
+Theory of operation: `Validator` walks the tables in parallel with the schema's types and collects faults.
+msgspec converts single values only, as it stops at its first fault. After the first fault, tables are still
+checked, but each yields None in place of a struct. No caller sees such a None, as `validate` raises if any
+fault was found.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 def validate(struct_type: type[StructType], document: object) -> StructType:
-    """The struct that the tables make. Raises InvalidDocumentError, with all that keeps them from it."""
+    """Returns the struct that the tables describe. Raises InvalidDocumentError with all faults."""
     validator = Validator()
     struct = validator.validate_table(struct_type, document, ())
     if validator.faults or struct is None:
@@ -42,19 +43,19 @@
 
 
 class Validator:
-    """One walk over one file."""
+    """Validates one file and collects its faults."""
 
     def __init__(self) -> None:
         self.faults: list[ConfigurationFault] = []
 
     def add_fault(self, path: KeyPath, found: str, expected: str) -> None:
-        """Notes one fault."""
+        """Records one fault."""
         self.faults.append(ConfigurationFault(path, found, expected))
 
     def validate_table(
         self, struct_type: type[StructType], value: object, path: KeyPath
     ) -> StructType | None:
-        """A struct of a table; None where a fault was found so far."""
+        """Returns the struct of a table, or None if any fault has been found so far."""
         if not isinstance(value, dict):
             self.add_fault(path, describe_value(value), "a table")
             return None
@@ -69,17 +70,17 @@
         return None if self.faults else struct_type(**fields)
 
     def check_unknown_keys(self, value: dict[str, object], keys: dict[str, TableKey], path: KeyPath) -> None:
-        """A fault for each key that the schema lacks, with the name that was probably meant."""
+        """Records a fault for each key that the schema lacks, with the most similar key as a suggestion."""
         for name in value:
             if name not in keys:
-                from difflib import get_close_matches  # only where there is a fault
+                from difflib import get_close_matches  # imported only when there is a fault
 
                 matches = get_close_matches(name, keys, 1, 0.5)
                 suggestion = f"{matches[0]!r}" if matches else "one of " + ", ".join(keys)
                 self.add_fault((*path, name), "an unknown key", suggestion)
 
     def validate_value(self, hint: object, key: Key, value: object, path: KeyPath) -> object:
-        """A value of any type."""
+        """Returns the converted value of a key of any type, or None if it has a fault."""
         options = alternatives(hint)
         if options[0] is Secret:
             return self.validate_secret(value, path)
@@ -97,7 +98,7 @@
     def validate_named_tables(
         self, name_hint: object, table_hint: object, key: Key, value: object, path: KeyPath
     ) -> dict[object, object] | None:
-        """A table of tables, by names or by numbers."""
+        """Returns the tables below a table, by name or by number, or None if the value is no table."""
         if not isinstance(value, dict):
             self.add_fault(path, describe_value(value), "a table of tables")
             return None
@@ -115,7 +116,7 @@
         return tables
 
     def validate_list(self, hint: object, key: Key, value: object, path: KeyPath) -> list[object] | None:
-        """A list."""
+        """Returns the converted items of a list, or None if the value is no list."""
         if not isinstance(value, list):
             self.add_fault(path, describe_value(value), "a list")
             return None
@@ -125,12 +126,12 @@
         ]
 
     def check_count(self, key: Key, count: int, path: KeyPath, noun: str) -> None:
-        """A fault where there are too few or too many rows."""
+        """Records a fault if a table or list has too few or too many entries."""
         if not (key.minimum or 0) <= count <= (key.maximum or count):
             self.add_fault(path, f"{count} {noun}", f"{key.minimum:g} to {key.maximum:g}")
 
     def validate_scalar(self, hint: object, key: Key, value: object, path: KeyPath) -> object:
-        """A single value within its bounds."""
+        """Returns a converted value that is no table or list, or None if it is invalid or out of bounds."""
         try:
             converted = convert_value(hint, value)
         except (msgspec.ValidationError, ValueError):
@@ -142,7 +143,10 @@
         return converted
 
     def validate_secret(self, value: object, path: KeyPath) -> Secret | None:
-        """Where a secret is. What was found is not said: it may be the secret itself."""
+        """Returns the location of a secret, or None if it is invalid.
+
+        The fault does not show the value that was found, as it may be the secret itself.
+        """
         try:
             secret = msgspec.convert(value, Secret)
         except msgspec.ValidationError:
@@ -154,7 +158,7 @@
 
 
 def convert_value(hint: object, value: object) -> object:
-    """The value as its type; ValueError or msgspec.ValidationError where it is none."""
+    """Returns the value converted to its type. Raises ValueError or msgspec.ValidationError."""
     if hint in PARSERS:
         return PARSERS[hint](value)
     converted: object = msgspec.convert(value, hint)
@@ -162,7 +166,7 @@
 
 
 def within_bounds(hint: object, key: Key, value: object) -> bool:
-    """Whether a number, or the length of a text that has bounds, lies within them."""
+    """Returns whether a number, or the length of a text, lies within the bounds of its key."""
     if isinstance(value, str):
         if hint is not str or key.maximum is None:
             return True
@@ -173,4 +177,4 @@
         return True
     minimum = -float("inf") if key.minimum is None else key.minimum
     maximum = float("inf") if key.maximum is None else key.maximum
-    return minimum <= amount <= maximum  # so that a NaN, which is neither less nor more, is refused
+    return minimum <= amount <= maximum  # false for a NaN, which is thereby rejected
--- a/tests/config/test_changes.py
+++ b/tests/config/test_changes.py
@@ -1,4 +1,4 @@
-"""What a reload applies of a changed file."""
+"""The changes of the sender's file that a reload applies, and those that need a restart."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from ashpath.config.changes import ConfigurationChanges, find_changes
 from ashpath.config.loading import read_configuration
 
-# A change of the file's text, what SIGHUP takes of it, and what waits for the next start.
+# Each row: old text ~ new text ~ keys that SIGHUP applies ~ keys that take effect at the next start.
+# An @ in the new text is a line break.
 CHANGES = """
     "10.1.0.18:7070"  ~ "10.1.0.20:7070" ~ destinations.7.endpoints ~
     slots = 8         ~ slots = 9        ~ rules.slots              ~
--- a/tests/config/test_loading.py
+++ b/tests/config/test_loading.py
@@ -1,4 +1,4 @@
-"""Reading a file, whatever stands in it."""
+"""Loading the sender's file with arbitrary contents: every failure is reported as an error with a line."""
 
 from __future__ import annotations
 
@@ -105,7 +105,10 @@
 )
 @given(MUTATIONS)
 def test_mutated_file_loads_or_names_faulty_line(tmp_path: Path, steps: list[tuple[str, int, bytes]]) -> None:
-    """Whatever becomes of a file: it is sound, or each line names the file and a line of it. No traceback."""
+    """A damaged file either loads, or each line of the error names the file and a line number in it.
+
+    Any other exception would reach users as a traceback.
+    """
     path = write_file(tmp_path, apply_mutations(EXAMPLE.read_bytes(), steps))
     try:
         found = read_configuration(path)
@@ -114,7 +117,8 @@
             assert re.match(rf"{re.escape(str(path))}:[1-9][0-9]*: .", line), line
             assert "\n" not in line
     else:
-        sender_settings(1, platform_form(found, "1")["settings"])  # what is sound makes a sender's settings
+        # A valid file must also convert to a sender's settings.
+        sender_settings(1, platform_form(found, "1")["settings"])
 
 
 def test_example_file_is_valid() -> None:
--- a/tests/config/test_platform_form.py
+++ b/tests/config/test_platform_form.py
@@ -1,4 +1,4 @@
-"""The platform's form of the sender's own file."""
+"""Conversion of the sender's own file to the platform's form."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def test_file_gives_same_settings_as_platform_json(tmp_path: Path) -> None:
-    """One place for each rule: the file gives what the platform's JSON of the same meaning gives."""
+    """The file and a platform's JSON with the same values give equal settings."""
     form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     settings = sender_settings(0x8C1F, PLATFORM_SETTINGS)
     assert sender_settings(int(form["seed"], 16), form["settings"]) == settings
--- a/tests/config/test_reference.py
+++ b/tests/config/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference of every key."""
+"""The generated reference of every key."""
 
 from __future__ import annotations
 
--- a/tests/config/test_validation.py
+++ b/tests/config/test_validation.py
@@ -1,4 +1,4 @@
-"""What is wrong with a file, word for word."""
+"""Faults of a file and the exact messages that report them."""
 
 from __future__ import annotations
 
