--- a/ashpath/cli/__init__.py
+++ b/ashpath/cli/__init__.py
@@ -1,8 +1,9 @@
-"""The command line: a module for each sub-command, each of which parses, calls and prints, and no more.
+"""The command line: each sub-command has a module, which parses arguments, calls other packages and prints.
 
-Called by the console script `ashpath` and by `python -m ashpath.cli`. A command's module is imported as it is
-called, so that `ashpath serve` pays for no other. Errors are one line on standard error, and the exit codes
-stand on docs/command-line.md; nothing here decides on a message or changes stored data by itself.
+The console script `ashpath` and `python -m ashpath.cli` call `main`. The module of a command is imported when
+the command is called, so that `ashpath serve` does not load the others. An error is one line on standard
+error; docs/command-line.md lists the exit codes. This package neither makes decisions about messages nor
+changes stored data by itself.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 
 def main() -> int:
-    """Runs the command of the arguments; its exit code.
+    """Runs the command that the arguments name, and returns its exit code.
 
-    Plain `serve FILE` goes past the command library: a sender that runs for weeks has no use for it.
+    `serve FILE` without options bypasses the command library, as a long-running sender has no use for it.
     """
     arguments = sys.argv[1:]
     if len(arguments) == 2 and arguments[0] == "serve" and not arguments[1].startswith("-"):
-        gc.disable()  # until the sender runs: see `ashpath/__main__.py`
+        gc.disable()  # enabled again by the runtime: see `ashpath/__main__.py`
         from ashpath.cli.standalone import serve
 
         return serve(arguments[1])
--- a/ashpath/cli/__main__.py
+++ b/ashpath/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ashpath.cli`, where the console script is not installed."""
+"""Runs the command line as `python -m ashpath.cli`, for use without the installed console script."""
 
 import sys
 
--- a/ashpath/cli/check.py
+++ b/ashpath/cli/check.py
@@ -17,7 +17,7 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def command(file: Path) -> int:
-    """Say all that is wrong with FILE, a sender's file or a scenario to simulate, a line each with file, line
+    """Report all faults of FILE, a sender's file or a scenario to simulate, each on a line with file, line
     and key. Exit code 0, or 2."""
     try:
         description = describe_scenario(file) if is_scenario(file) else describe_sender(file)
@@ -30,12 +30,12 @@
 
 
 def is_scenario(file: Path) -> bool:
-    """Whether it is a scenario for `ashpath simulate`, and not a sender's file."""
+    """Returns whether the file is a scenario for `ashpath simulate` rather than a sender's file."""
     return SCENARIO_TABLE in read_document(file)
 
 
 def describe_scenario(file: Path) -> str:
-    """What is in a sound scenario. Raises InvalidConfigurationError."""
+    """Returns a summary of a valid scenario. Raises InvalidConfigurationError."""
     from dataclasses import asdict
 
     from ashpath.emulator.scenario.loading import read_scenario, scenario_size
@@ -45,7 +45,10 @@
 
 
 def describe_sender(file: Path) -> str:
-    """What is in a sound sender's file, whose secrets are there. Raises InvalidConfigurationError."""
+    """Returns a summary of a valid sender's file.
+
+    Raises InvalidConfigurationError if the file is not valid or a secret cannot be read.
+    """
     configuration = read_configuration(file)
     read_credentials(file, configuration)
     if configuration.platform:
--- a/ashpath/cli/completion.py
+++ b/ashpath/cli/completion.py
@@ -14,6 +14,6 @@
 def command(shell: str) -> int:
     """Print the completion script of SHELL: `eval "$(ashpath completion bash)"`."""
     completion = get_completion_class(shell)
-    assert completion is not None  # each of the choices has one
+    assert completion is not None  # click has a class for each of the choices
     print(completion(ashpath, {}, "ashpath", "_ASHPATH_COMPLETE").source())
     return ExitCode.OK
--- a/ashpath/cli/demo.py
+++ b/ashpath/cli/demo.py
@@ -15,22 +15,28 @@
 from ashpath.cli.output import Row, format_cell
 
 ShowRows = Callable[[float, Sequence[Row]], None]
-"""Called with the seconds that passed, and a row for each destination."""
+"""A function that shows the elapsed seconds and a row for each destination."""
 
 
 @click.command()
 @click.option(
-    "--seconds", type=click.FloatRange(2, 600), default=20.0, show_default=True, help="Of arrivals."
+    "--seconds", type=click.FloatRange(2, 600), default=20.0, show_default=True, help="Duration of arrivals."
 )
 @click.option(
-    "--seed", type=click.IntRange(0), default=1, show_default=True, help="Of arrivals and destinations."
+    "--seed",
+    type=click.IntRange(0),
+    default=1,
+    show_default=True,
+    help="Random seed of arrivals and destinations.",
 )
 @click.option("--kill", is_flag=True, help="Kill the sender half-way, and start it again.")
-@click.option("--keep", type=click.Path(path_type=Path), help="Write file, state and log to this new folder.")
+@click.option(
+    "--keep", type=click.Path(path_type=Path), help="Write the file, state and log to this new directory."
+)
 def command(seconds: float, seed: int, kill: bool, keep: Path | None) -> int:
-    """Watch a sender among stand-in destinations: a bank with a limit, a slow letting office, and a landlord
-    app that has an outage and warms up. Ends with an account of every message; exit code 1 if one has no
-    outcome or was delivered twice. All on loopback."""
+    """Run a sender on loopback against simulated destinations: a bank with a limit, a slow letting office,
+    and a landlord app that has an outage and warms up. Prints the number of messages by final outcome; exit
+    code 1 if a message has no outcome or was delivered twice."""
     from ashpath.emulator.demo.run import Demo
 
     with demo_directory(keep) as directory:
@@ -50,13 +56,13 @@
         f" unaccounted for {len(summary.unaccounted)}"
     )
     for trace_id in summary.unaccounted:
-        print(f"no end: {trace_id}")
+        print(f"no outcome: {trace_id}")
     return ExitCode.OK if summary.is_sound else ExitCode.FAILED
 
 
 @contextmanager
 def demo_directory(keep: Path | None) -> Iterator[Path]:
-    """A new directory, that stays where one to keep is named. Raises CommandError."""
+    """Yields a new directory, which is removed afterwards unless `keep` names it. Raises CommandError."""
     if keep is None:
         with tempfile.TemporaryDirectory(prefix="ashpath-demo-") as directory_name:
             yield Path(directory_name)
@@ -71,7 +77,7 @@
 
 @contextmanager
 def display() -> Iterator[ShowRows]:
-    """A table that is drawn anew in place, or plain lines where there is no terminal."""
+    """Yields a function that redraws a table in place, or prints plain lines if there is no terminal."""
     if not sys.stdout.isatty():
         yield print_lines
         return
@@ -92,7 +98,7 @@
 
 
 def print_lines(elapsed_s: float, rows: Sequence[Row]) -> None:
-    """A line for each destination."""
+    """Prints a line for each destination."""
     for row in rows:
         cells = " ".join(f"{name}={format_cell(value)}" for name, value in row.items())
         print(f"{elapsed_s:5.1f}s {cells}", flush=True)
--- a/ashpath/cli/destinations.py
+++ b/ashpath/cli/destinations.py
@@ -14,7 +14,7 @@
 @url_argument
 @json_rows_option
 def command(url: str, as_json: bool) -> int:
-    """List the destinations of the standalone sender at URL: concurrency limits, circuit breakers, messages
-    that are queued and in flight."""
+    """List the destinations of the standalone sender at URL: concurrency limits, circuit breakers, and the
+    numbers of messages queued and in flight."""
     print_rows(StatusClient(url).destinations(), as_json=as_json)
     return ExitCode.OK
--- a/ashpath/cli/errors.py
+++ b/ashpath/cli/errors.py
@@ -1,4 +1,4 @@
-"""What commands raise; `group.run` makes one line on standard error and an exit code of it."""
+"""Exceptions of commands; `group.run` turns each into one line on standard error and an exit code."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class CommandError(click.ClickException):
-    """What was asked could not be done.
+    """A command failed.
 
-    Made of what it is about, if anything, and of the problem: `URL: Connection refused`.
+    The message joins the subject, if any, and the problem: `URL: Connection refused`.
     """
 
     exit_code: ClassVar[int] = ExitCode.FAILED
@@ -22,10 +22,10 @@
 
 
 class BadInputError(CommandError):
-    """What was asked cannot be used; nothing was changed."""
+    """The input of a command is invalid; nothing was changed."""
 
     exit_code: ClassVar[int] = ExitCode.BAD_INPUT
 
 
 class SenderUnreachableError(CommandError):
-    """No response: whether what was asked was done is not known."""
+    """The sender did not respond; it is unknown whether it carried out the request."""
--- a/ashpath/cli/exit_codes.py
+++ b/ashpath/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""The exit codes of every command; docs/command-line.md explains them to users."""
+"""The exit codes of all commands; docs/command-line.md explains them to users."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's end says to the shell."""
+    """The exit code of a command."""
 
     OK = 0
     FAILED = 1
-    """It could not be done."""
+    """The command failed."""
     BAD_INPUT = 2
-    """What was asked cannot be used; nothing was changed."""
+    """The input is invalid; nothing was changed."""
     REJECTED = 3
     """`submit`: the message was rejected; it may be submitted again."""
     MESSAGE_FAILED = 4
-    """`submit`: the message failed; it may have run."""
+    """`submit`: the message failed; a destination may have processed it."""
     INTERRUPTED = 130
-    """By a signal from the terminal."""
+    """A signal from the terminal interrupted the command."""
--- a/ashpath/cli/explain.py
+++ b/ashpath/cli/explain.py
@@ -13,9 +13,9 @@
 
 @click.command()
 @click.argument("key", required=False)
-@click.option("--markdown", is_flag=True, help="The page docs/configuration.md.")
+@click.option("--markdown", is_flag=True, help="Print the page docs/configuration.md.")
 def command(key: str | None, markdown: bool) -> int:
-    """The reference of every key of the file, of KEY, or of all below it."""
+    """Print the reference of KEY and all keys below it, or of every key of the file."""
     if markdown:
         print(markdown_page(), end="")
         return ExitCode.OK
--- a/ashpath/cli/ledger.py
+++ b/ashpath/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`ashpath ledger show|verify|stats FOLDER`: reads the write-ahead log of a sender that runs or not."""
+"""`ashpath ledger show|verify|stats FOLDER`: reads the write-ahead log of a running or stopped sender."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 )
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path))
-json_option = click.option("--json", "as_json", is_flag=True, help="Lines of JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print lines of JSON.")
 
 
 @click.group()
 def command() -> None:
-    """Read the write-ahead log in FOLDER, a sender's state directory or its journal. Nothing is changed."""
+    """Read the write-ahead log in FOLDER, a sender's state directory or its journal, without changing it."""
 
 
 @command.command()
@@ -44,8 +44,8 @@
 @folder_argument
 @json_option
 def verify(folder: Path, as_json: bool) -> int:
-    """Say whether every record is whole, and else at which byte the first one that is not stands. Exit code
-    0, or 1."""
+    """Report whether every record is complete, or the byte offset of the first one that is not. Exit code 0,
+    or 1."""
     contents = read_contents(folder)
     if as_json:
         print_json(verification(contents))
@@ -71,7 +71,7 @@
 
 
 def read_contents(folder: Path) -> LogContents:
-    """Raises BadInputError where there is no log that can be opened."""
+    """Returns the contents of the log. Raises BadInputError if it cannot be opened."""
     path = log_path(folder)
     try:
         return read_log(path)
@@ -80,13 +80,13 @@
 
 
 def warn_if_damaged(contents: LogContents) -> None:
-    """Says on standard error where the log is not whole."""
+    """Prints the fault of a damaged log on standard error."""
     if contents.fault:
         print(f"ashpath: {verification_summary(contents)}", file=sys.stderr)
 
 
 def format_count(value: object) -> str:
-    """A count, or those of a table.
+    """Formats a count, or a table of counts.
 
     >>> format_count(3), format_count({"free": 2, "tag": 1})
     ('3', 'free 2, tag 1')
--- a/ashpath/cli/options.py
+++ b/ashpath/cli/options.py
@@ -1,4 +1,4 @@
-"""Options and arguments that several commands have."""
+"""Options and arguments that several commands share, and their types."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 DEFAULT_URL = "http://127.0.0.1:7070"
 
-json_rows_option = click.option("--json", "as_json", is_flag=True, help="A line of JSON for each.")
+json_rows_option = click.option("--json", "as_json", is_flag=True, help="Print a line of JSON for each.")
 url_argument = click.argument("url", envvar="ASHPATH_URL")
 url_option = click.option("--url", default=DEFAULT_URL, envvar="ASHPATH_URL", show_default=True)
 SEED_RANGE = re.compile(r"([0-9]{1,9})(?:\.\.([0-9]{1,9}))?")
 
 
 class DurationType(click.ParamType[int]):
-    """A duration as the sender's file has it; microseconds."""
+    """A duration in the notation of the sender's file, converted to microseconds."""
 
     name = "duration"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Fails where the text is no duration."""
+        """Returns microseconds. Raises BadParameter if the text is no duration."""
         if isinstance(value, int):
             return value
         try:
@@ -32,13 +32,16 @@
 
 
 class SeedsType(click.ParamType[list[int]]):
-    """One seed, or a range of them."""
+    """One seed, or a range of seeds."""
 
     name = "seeds"
     max_seeds = 1000
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> list[int]:
-        """Fails where the text is no number and no range, or the range is empty or too long."""
+        """Returns the seeds.
+
+        Raises BadParameter if the text is no number or range, or the range is empty or too long.
+        """
         if isinstance(value, list):
             return value
         match = SEED_RANGE.fullmatch(value) if isinstance(value, str) else None
--- a/ashpath/cli/output.py
+++ b/ashpath/cli/output.py
@@ -1,4 +1,4 @@
-"""Rows as people and programs want them: a table on a terminal, tabs between fields else, or JSON lines."""
+"""Prints rows as a table on a terminal, as tab-separated fields elsewhere, or as lines of JSON."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def print_json(row: Row) -> None:
-    """One line."""
+    """Prints one line of JSON."""
     print(orjson.dumps(row).decode())
 
 
 def print_rows(rows: Iterable[Row], *, as_json: bool) -> None:
-    """All rows have the same keys."""
+    """Prints rows, all of which have the same keys."""
     if as_json:
         for row in rows:
             print_json(row)
@@ -33,7 +33,7 @@
 
 
 def print_table(rows: list[Row]) -> None:
-    """On a terminal."""
+    """Prints rows as a table on a terminal."""
     from rich.console import Console
     from rich.table import Table
 
@@ -44,7 +44,7 @@
 
 
 def format_cell(value: object) -> str:
-    """A value for people.
+    """Formats a value for people.
 
     >>> format_cell(True), format_cell(None), format_cell(1.25), format_cell("a")
     ('yes', '-', '1.25', 'a')
--- a/ashpath/cli/progress_bar.py
+++ b/ashpath/cli/progress_bar.py
@@ -1,4 +1,4 @@
-"""A bar with the time left on a terminal, and nothing without one."""
+"""A progress bar with the remaining time on a terminal; without a terminal nothing is shown."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from contextlib import contextmanager
 
 ReportProgress = Callable[[float], None]
-"""Called with how much is done, of the total."""
+"""A function that takes the completed part of the total."""
 
 
 @contextmanager
 def progress_bar(name: str, total: int) -> Iterator[ReportProgress]:
-    """On standard error, for as long as the context lasts."""
+    """Shows a progress bar on standard error until the context ends, and yields the function to update it."""
     if not sys.stderr.isatty():
         yield ignore_progress
         return
@@ -30,4 +30,4 @@
 
 
 def ignore_progress(done: float) -> None:
-    """Where nobody watches."""
+    """Does nothing, as standard error is no terminal."""
--- a/ashpath/cli/serve.py
+++ b/ashpath/cli/serve.py
@@ -10,5 +10,5 @@
 @click.command()
 @click.argument("file")
 def command(file: str) -> int:
-    """Start a sender from FILE, in the foreground; SIGTERM ends it in order, SIGHUP reloads FILE."""
+    """Start a sender from FILE, in the foreground; SIGTERM shuts it down gracefully, SIGHUP reloads FILE."""
     return serve(file)
--- a/ashpath/cli/simulate.py
+++ b/ashpath/cli/simulate.py
@@ -16,15 +16,23 @@
 @click.command()
 @click.argument("name", metavar="DAY")
 @click.option("--seed", type=click.IntRange(0), default=None, help="One seed; 1 if neither is given.")
-@click.option("--seeds", type=SeedsType(), default=None, help="Several, 1..20 say.")
+@click.option("--seeds", type=SeedsType(), default=None, help="A range of seeds, such as 1..20.")
 @click.option("--policy", "policies", multiple=True, default=("module",), help="module, a baseline, or all.")
-@click.option("--jobs", type=click.IntRange(1, 256), default=1, show_default=True, help="Processes.")
-@click.option("--json", "file", type=click.Path(path_type=Path), help="Write the outcome to this file.")
-@click.option("--sockets", is_flag=True, help="Play it on loopback, with senders in processes of their own.")
-@click.option("--keep", type=click.Path(path_type=Path), help="--sockets: files and logs go there.")
-@click.option("--story", help="Tell what became of one message, by its id.")
-@click.option("--windows/--no-windows", default=True, help="The table of ten seconds each, of one run.")
-@click.option("--modes", is_flag=True, help="Print the policy's mode lines of one run.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 256), default=1, show_default=True, help="Number of processes."
+)
+@click.option("--json", "file", type=click.Path(path_type=Path), help="Write the results to this file.")
+@click.option("--sockets", is_flag=True, help="Run it on loopback, with senders in processes of their own.")
+@click.option(
+    "--keep", type=click.Path(path_type=Path), help="With --sockets: the directory for files and logs."
+)
+@click.option("--story", help="Print the history of one message, by its id.")
+@click.option(
+    "--windows/--no-windows",
+    default=True,
+    help="Print a table with a row for each ten seconds, for a single run.",
+)
+@click.option("--modes", is_flag=True, help="Print the policy's mode changes in the first run.")
 def command(
     name: str,
     seed: int | None,
@@ -38,7 +46,7 @@
     windows: bool,
     modes: bool,
 ) -> int:
-    """Play the scenario DAY, a file or the name of one of the library, in virtual time. Exit code 1 if the
+    """Run the scenario DAY, a file or the name of one in the library, in virtual time. Exit code 1 if the
     policy breaks a rule. All figures are simulated."""
     from ashpath.cli import simulation_report as report
     from ashpath.cli import simulation_runs
@@ -68,7 +76,7 @@
 
 
 def write_outcome(file: Path, data: bytes) -> None:
-    """Raises CommandError."""
+    """Writes the results file. Raises CommandError if it cannot be written."""
     try:
         file.write_bytes(data)
     except OSError as error:
--- a/ashpath/cli/simulation_report.py
+++ b/ashpath/cli/simulation_report.py
@@ -1,4 +1,4 @@
-"""What `ashpath simulate` prints of its runs, on standard output."""
+"""Prints the results of `ashpath simulate` on standard output."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from ashpath.cli.simulation_runs import ScenarioResults
 from ashpath.emulator.runs import Run, policy_table
 
-POLICY_UNDER_TEST = "module"  # also the first word of its name on sockets
+POLICY_UNDER_TEST = "module"  # with --sockets, its name begins with this word
 MAX_CAUSES = 8
-MAX_VIOLATIONS = 5  # of each run
+MAX_VIOLATIONS = 5  # per run
 
 
 def print_tables(results: ScenarioResults, *, windows: bool) -> None:
-    """What the scenario teaches, and a row for each policy.
+    """Prints the purpose of the scenario, a row for each policy, and the causes of losses in the first run.
 
-    Before the row stand the windows, where there is one run; behind it the losses of the first run.
+    For a single run, the table of windows precedes the rows of the policies.
     """
     print(f"{results.name}: {results.scenario.about.lesson} (simulated)")
     first = results.runs[0]
@@ -26,13 +26,13 @@
 
 
 def print_mode_changes(run: Run) -> None:
-    """The changes of mode of one run."""
+    """Prints the mode changes of one run."""
     for time_us, sender, text in run.mode_changes:
         print(f"{format_time(time_us)} sender {sender}: {text}")
 
 
 def print_violations(results: ScenarioResults) -> None:
-    """The rules that were broken, and how each came about."""
+    """Prints the rules that were broken, and the events that led to each violation."""
     for run in results.runs:
         for violation in run.broken[:MAX_VIOLATIONS]:
             print(
@@ -44,18 +44,18 @@
 
 
 def print_history(run: Run, trace_id: str) -> None:
-    """What became of one message."""
+    """Prints the events of one message."""
     for time_us, event in run.stories:
         print(f"{format_time(time_us)} {event}")
     if not run.stories:
-        print(f"no envelope {trace_id!r} was taken on in seed {run.seed}")
+        print(f"no message {trace_id!r} was accepted in seed {run.seed}")
 
 
 def policy_broke_rules(results: ScenarioResults) -> bool:
-    """Whether a run of the policy did; baselines may."""
+    """Returns whether a run of the policy broke a rule; violations by baselines do not count."""
     return any(run.result["rules"] for run in results.runs if run.policy.startswith(POLICY_UNDER_TEST))
 
 
 def format_time(time_us: int) -> str:
-    """A time of the simulation, given in microseconds."""
+    """Formats a simulated time, given in microseconds, as seconds."""
     return f"{time_us / 1e6:9.3f}s"
--- a/ashpath/cli/simulation_runs.py
+++ b/ashpath/cli/simulation_runs.py
@@ -1,4 +1,4 @@
-"""Which runs a user asks of `ashpath simulate`, and how they are played."""
+"""Selects and executes the runs that a user requests with `ashpath simulate`."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationRequest:
-    """Every seed under every policy."""
+    """A request to run a scenario with every seed under every policy."""
 
     path: Path
-    """Of the scenario."""
+    """The scenario's file."""
     seeds: list[int]
     policies: list[str]
     jobs: int
-    """Processes."""
+    """The number of processes."""
     trace_id: str
-    """The message whose history is kept; empty: of none."""
+    """The message whose history is recorded; empty for none."""
 
     @property
     def run_count(self) -> int:
-        """Of all runs."""
+        """The number of runs."""
         return len(self.seeds) * len(self.policies)
 
 
@@ -57,12 +57,12 @@
     runs: list[Run]
 
     def outcome(self) -> bytes:
-        """As the outcome file has it."""
+        """Returns the contents of the results file."""
         return outcome_file(self.scenario, self.name, self.runs)
 
 
 def find_scenario(name: str) -> Path:
-    """The file of a scenario. Raises BadInputError where the library has none of that name."""
+    """Returns the file of a scenario. Raises BadInputError if the library has none of that name."""
     path = scenario_path(name)
     if not path.exists() and not name.endswith(".toml"):
         known = ", ".join(sorted(file.stem for file in SCENARIO_LIBRARY.glob("*.toml")))
@@ -72,7 +72,7 @@
 
 
 def choose_policies(names: tuple[str, ...]) -> list[str]:
-    """Each once, in order. Raises BadInputError where there is none of a name."""
+    """Returns the policies in order, without duplicates. Raises BadInputError if a name is unknown."""
     chosen = list(POLICIES) if ALL_POLICIES in names else list(dict.fromkeys(names))
     for name in chosen:
         if name not in POLICIES:
@@ -83,7 +83,7 @@
 
 
 def choose_seeds(seed: int | None, seeds: list[int] | None) -> list[int]:
-    """Raises BadInputError where both are given."""
+    """Returns the seeds to run. Raises BadInputError if both options are given."""
     if seed is not None and seeds is not None:
         problem = "found both, expected one of them"
         raise BadInputError(SEED_OPTIONS, problem)
@@ -91,7 +91,10 @@
 
 
 def run_scenario(request: SimulationRequest, *, sockets: bool, keep: Path | None) -> ScenarioResults:
-    """All runs. Raises InvalidConfigurationError where the scenario's file is not sound, or CommandError."""
+    """Executes all runs.
+
+    Raises InvalidConfigurationError if the scenario's file is invalid, or CommandError.
+    """
     try:
         scenario = read_scenario(request.path)
         runs = run_on_sockets(request, keep) if sockets else run_in_virtual_time(request)
@@ -105,7 +108,7 @@
 
 
 def run_in_virtual_time(request: SimulationRequest) -> list[Run]:
-    """All runs, by policy and seed."""
+    """Executes all runs in virtual time and returns them by policy and seed."""
     with progress_bar(request.path.stem, request.run_count) as report_progress:
         if request.run_count == 1:
             seed = request.seeds[0]
@@ -119,7 +122,7 @@
 
 
 def run_on_sockets(request: SimulationRequest, keep: Path | None) -> list[Run]:
-    """A run for each seed, never beside one another: they would slow each other down."""
+    """Executes a run for each seed on loopback, one after another, as parallel runs slow each other down."""
     runs: list[Run] = []
     with progress_bar(request.path.stem, request.run_count) as report_progress:
         for seed in request.seeds:
@@ -130,7 +133,7 @@
 
 @contextmanager
 def run_directory(seed: int, keep: Path | None) -> Iterator[Path]:
-    """A new directory for files and logs of one run, that stays where one to keep is named."""
+    """Yields a new directory for the files and logs of one run, removed afterwards if `keep` is None."""
     if keep is not None:
         directory = keep / f"seed-{seed}"
         directory.mkdir(parents=True)
--- a/ashpath/cli/standalone.py
+++ b/ashpath/cli/standalone.py
@@ -1,7 +1,7 @@
 """Starts a sender from its own file, in the foreground: `ashpath serve FILE`.
 
-Exit codes: 0 after a graceful shutdown, 1 where the clients' address cannot be listened on, 2 where the file
-or the state directory cannot be used; each of the latter with one line on standard error.
+Exit codes: 0 after a graceful shutdown, 1 if the sender cannot listen on the clients' address, 2 if the file
+or the state directory cannot be used. Codes 1 and 2 come with one line on standard error.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def serve(file: str) -> int:
-    """Runs a sender to its end; the exit code."""
+    """Runs a sender until it shuts down, and returns the exit code."""
     try:
         return run_sender(Path(file))
     except (InvalidConfigurationError, StateDirectoryError) as error:
@@ -37,8 +37,11 @@
 
 
 def run_sender(path: Path) -> int:
-    """Raises `InvalidConfigurationError` and `StateDirectoryError`, before any message was accepted."""
-    pending_hangups: list[int] = []  # before the sender runs: by default SIGHUP would end the process
+    """Runs a sender until it shuts down, and returns the exit code.
+
+    Raises `InvalidConfigurationError` and `StateDirectoryError` before any message is accepted.
+    """
+    pending_hangups: list[int] = []  # received before the sender runs: by default, SIGHUP ends the process
     signal.signal(signal.SIGHUP, lambda number, _: pending_hangups.append(number))
     configuration = FileConfiguration.read(path)
     file = configuration.file
@@ -64,7 +67,7 @@
 def create_standalone_sender(
     configuration: FileConfiguration, state_directory: StateDirectory, logger: Logger
 ) -> Sender:
-    """Raises `StateDirectoryError`."""
+    """Returns a sender that does not run yet. Raises `StateDirectoryError`."""
     place = SenderPlace(configuration.file.sender.listen, configuration.state_directory)
     deployment = StandaloneDeployment(configuration, state_directory)
     try:
@@ -78,21 +81,26 @@
 
 
 def open_standard_streams() -> None:
-    """Opens standard streams that are closed on nothing, else a file of ours would get their numbers, and log
-    lines be written into it."""
+    """Opens closed standard streams on /dev/null.
+
+    Otherwise a file that the sender opens could get the number of a standard stream, and log lines would be
+    written into that file.
+    """
     for descriptor in STANDARD_STREAMS:
         try:
             os.fstat(descriptor)
         except OSError:
-            os.open(os.devnull, os.O_RDWR)  # the lowest free number: this one
+            os.open(os.devnull, os.O_RDWR)  # gets the lowest free number, which is `descriptor`
 
 
 def raise_descriptor_limit(path: Path, wanted: int) -> None:
-    """Raises the soft limit on descriptors to what the file has. Raises `InvalidConfigurationError` where the
-    hard limit is lower."""
+    """Raises the soft limit on descriptors to the number in the file.
+
+    Raises `InvalidConfigurationError` if the hard limit is lower.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and wanted > hard:
-        expected = f"expected at most {hard}, which this process may have"
+        expected = f"expected at most {hard}, the hard limit of this process"
         raise InvalidConfigurationError([f"{path}: limits.descriptors: found {wanted}, {expected}"])
     if soft != resource.RLIM_INFINITY and wanted > soft:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -1,8 +1,8 @@
-"""A sender with a configuration file of its own: what it has beside, or in place of, the platform's.
+"""The deployment of a sender with a configuration file of its own, as opposed to one that a platform starts.
 
-The file is converted to the platform's form, and the sender put together as there (`server/wiring.py`). Here
-stand the differences: notifications go to an address of the file's choice, to a file, or nowhere; final
-outcomes are kept for clients that ask; traffic class ids are stored with the state directory's imprint.
+The file is converted to the platform's form, and `server/wiring.py` creates the sender as on a platform. This
+module implements the differences: notifications go to an address that the file names, to a file, or nowhere;
+final outcomes are kept for clients that ask; traffic class ids are stored in the state directory's imprint.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.wire_names import CREDENTIAL_HEADER
 
-MAX_LOGGED_KEYS = 20  # of those that a reload changed, in one log line
+MAX_LOGGED_KEYS = 20  # changed keys that one log line names
 
 
 class FileConfiguration(Struct, frozen=True):
-    """What a sender's own file says."""
+    """The contents of a sender's own file."""
 
     path: Path
     file: Configuration
     sender: SenderConfiguration
-    """The same in the platform's form."""
+    """The same configuration, read from the platform's form of the file."""
     credentials: Credentials
 
     @classmethod
     def read(cls, path: Path) -> FileConfiguration:
-        """Raises `InvalidConfigurationError`."""
+        """Reads a file and its secrets. Raises `InvalidConfigurationError`."""
         file = read_configuration(path)
         credentials = read_credentials(path, file)
         document = platform_form(file, file.sender.seed or secrets.token_hex(8))
@@ -66,11 +66,11 @@
 
     @property
     def state_directory(self) -> Path:
-        """Counted from the file's folder."""
+        """The state directory; a relative path is resolved against the directory of the file."""
         return resolve_path(self.path.parent, self.file.sender.state_directory)
 
     def destination_names(self) -> dict[int, str]:
-        """Of the destinations that have one."""
+        """Returns the names of destinations by number, without destinations that have none."""
         return {
             number: destination.name
             for number, destination in self.file.destinations.items()
@@ -78,7 +78,7 @@
         }
 
     def notification_receiver(self) -> NotificationReceiver | None:
-        """Where notifications go by HTTP; None where they go to a file, or nowhere."""
+        """Returns the HTTP receiver of notifications, or None if they go to a file or nowhere."""
         target = notification_target(self.file)
         if target is None:
             return None
@@ -88,14 +88,14 @@
 
 
 class StandaloneDeployment:
-    """Outcomes are kept for clients that ask; a `Deployment`."""
+    """A `Deployment` that keeps final outcomes for clients that ask."""
 
     def __init__(self, configuration: FileConfiguration, state_directory: StateDirectory) -> None:
         self.configuration = configuration
         self.state_directory = state_directory
 
     def create_outcome_store(self, limits: ServerLimits, logger: Logger) -> OutcomeStore:
-        """In the state directory."""
+        """Returns an outcome store in the state directory."""
         retention_us = round(limits.outcome_retention_s * 1e6)
         return OutcomeStore(
             self.configuration.state_directory, limits.outcome_store_bytes, retention_us, logger
@@ -104,7 +104,10 @@
     def create_notifier(
         self, limits: ServerLimits, write_ahead_log: WriteAheadLog, backoff: Backoff, logger: Logger
     ) -> Notifier:
-        """Raises `StateDirectoryError` where the file of notifications cannot be opened."""
+        """Returns a notifier to an address, a file or nowhere.
+
+        Raises `StateDirectoryError` if the file of notifications cannot be opened.
+        """
         receiver = self.configuration.notification_receiver()
         if receiver is not None:
             return HttpNotifier(receiver, limits, write_ahead_log, logger, backoff)
@@ -114,7 +117,10 @@
         return NullNotifier(write_ahead_log)
 
     def open_notification_file(self, limits: ServerLimits) -> RotatingFile:
-        """Its path is counted from the configuration file's folder."""
+        """Opens the file of notifications; a relative path starts at the configuration file's directory.
+
+        Raises `StateDirectoryError` if the file cannot be opened.
+        """
         path = resolve_path(self.configuration.path.parent, self.configuration.file.notifications.file)
         try:
             return RotatingFile(path, limits.notification_file_bytes, limits.notification_files)
@@ -133,11 +139,14 @@
     def restore_traffic_class_ids(
         self, configuration: SenderConfiguration, *, has_live_messages: bool
     ) -> SenderConfiguration:
-        """Unchanged: done before the write-ahead log was opened, by the state directory's imprint."""
+        """Returns the configuration unchanged.
+
+        `run_sender` restored the ids from the state directory's imprint before it opened the write-ahead log.
+        """
         return configuration
 
     def store_traffic_class_ids(self, configuration: SenderConfiguration) -> None:
-        """Raises OSError."""
+        """Writes the traffic classes to the state directory's imprint. Raises OSError."""
         try:
             self.state_directory.write(configuration.settings.document["classes"])
         except StateDirectoryError as error:
@@ -145,13 +154,15 @@
 
 
 class StandaloneReloader:
-    """Applies what a running sender can take of its file: see `config.changes`. The rest waits for the
-    next start, and is named in the log."""
+    """Applies the changes of the file that a running sender can apply: see `config.changes`.
+
+    The log names the other changes, which take effect at the next start.
+    """
 
     def __init__(self, configuration: FileConfiguration, sender: Sender, log_format: LogFormat) -> None:
         self.path = configuration.path
-        self.startup_configuration = configuration.file  # what the process started with
-        self.latest_configuration = configuration.file  # what was read last
+        self.startup_configuration = configuration.file  # the file as the process started with it
+        self.latest_configuration = configuration.file  # the file as last read and applied
         self.sender = sender
         self.log_format = log_format
 
@@ -161,7 +172,7 @@
             configuration = FileConfiguration.read(self.path)
         except UNUSABLE_CONFIGURATION_ERRORS as error:
             raise ConfigurationError(error_text(error)) from error
-        # First: it may not be possible, and then nothing else is applied.
+        # Settings go first: if they cannot be applied, nothing else of the file is.
         self.sender.settings_switch.apply(configuration.sender)
         applied = find_changes(self.latest_configuration, configuration.file).applied
         waiting = find_changes(self.startup_configuration, configuration.file).at_next_start
@@ -176,14 +187,14 @@
         self.update_notifier(configuration)
 
     def update_names(self, configuration: FileConfiguration) -> None:
-        """The names in responses to clients that ask."""
+        """Updates the names of traffic classes and destinations in the status API."""
         status_api = self.sender.clients.status_api
         if status_api is not None:
             running = self.sender.running.current.settings
             status_api.apply_names(running.traffic_class_names(), configuration.destination_names())
 
     def update_discovery(self, configuration: FileConfiguration, applied: list[str]) -> None:
-        """To another address; without service discovery, the file's own endpoint list is applied."""
+        """Changes the address of service discovery; without one, applies the file's own endpoint list."""
         discovery = self.sender.discovery
         address = configuration.sender.platform_address
         if discovery is not None and address is not None:
@@ -194,7 +205,7 @@
             self.sender.delivery.membership.receive_members(members, complete=True)
 
     def update_notifier(self, configuration: FileConfiguration) -> None:
-        """To another address, where notifications go to one."""
+        """Changes the receiver of notifications if they are sent by HTTP."""
         notifier = self.sender.delivery.notifier
         receiver = configuration.notification_receiver()
         if isinstance(notifier, HttpNotifier) and receiver is not None:
@@ -202,7 +213,7 @@
 
 
 def truncate_keys(paths: list[str]) -> list[str]:
-    """As many as a log line has room for."""
+    """Returns at most MAX_LOGGED_KEYS of the paths, followed by a count of the others."""
     if len(paths) <= MAX_LOGGED_KEYS:
         return paths
     return [*paths[:MAX_LOGGED_KEYS], f"and {len(paths) - MAX_LOGGED_KEYS} more"]
--- a/ashpath/cli/status_client.py
+++ b/ashpath/cli/status_client.py
@@ -1,4 +1,4 @@
-"""Asks a sender over HTTP, for the commands that need one."""
+"""An HTTP client for submitting messages to a sender and for its status API."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 RESPONSE_TIMEOUT_S = 5.0  # for a response
 DEFAULT_PORT = 80
-STATUS_API_ABSENT = "a sender of a platform does not list what it holds"
-INVALID_URL = "found no address of a sender, expected http://HOST:PORT"
+STATUS_API_ABSENT = "the sender has no status API; only standalone senders do"
+INVALID_URL = "not the URL of a sender, expected http://HOST:PORT"
 
 
 @dataclass(frozen=True, slots=True)
 class StatusResponse:
-    """A response of a sender."""
+    """An HTTP response of a sender."""
 
     status: int
     headers: dict[str, str]
-    """By their names in lower case."""
+    """Values by lower-case header name."""
     body: bytes
 
     @property
     def retry_after_s(self) -> float | None:
-        """Seconds after which to submit again; None where the response has none."""
+        """The value of Retry-After in seconds, or None if the response has none that can be read."""
         try:
             return float(self.headers[RETRY_AFTER_HEADER.decode()])
         except (KeyError, ValueError):
@@ -43,10 +43,10 @@
 
 
 class StatusClient:
-    """The sender at one URL."""
+    """A client of the sender at one URL."""
 
     def __init__(self, url: str) -> None:
-        """Raises BadInputError where the URL is none of a sender."""
+        """Raises BadInputError if the URL is not of the form http://HOST:PORT."""
         try:
             parts = urlsplit(url if "://" in url else f"http://{url}")
             host = parts.hostname
@@ -62,7 +62,7 @@
     def request(
         self, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
     ) -> StatusResponse:
-        """Raises SenderUnreachableError."""
+        """Sends a request and returns the response. Raises SenderUnreachableError."""
         connection = HTTPConnection(self.host, self.port, timeout=RESPONSE_TIMEOUT_S)
         try:
             connection.request(method, path, body, headers or {})
@@ -80,20 +80,20 @@
         return self.request("POST", SUBMIT_PATH.decode(), body, headers)
 
     def message_state(self, trace_id: str) -> JsonObject | None:
-        """The message's state; None where the sender does not know it. Raises CommandError."""
+        """Returns the state of a message, or None if the sender does not know it. Raises CommandError."""
         response = self.request("GET", MESSAGE_PATH_PREFIX.decode() + quote(trace_id, safe=""))
         return self.decode_json(response) if response.status == 200 else None
 
     def live_messages(self) -> list[JsonObject]:
-        """In the order in which they were accepted. Raises CommandError."""
+        """Returns the live messages in the order in which they were accepted. Raises CommandError."""
         return self.list_rows(MESSAGES_PATH, "envelopes")
 
     def destinations(self) -> list[JsonObject]:
-        """Raises CommandError."""
+        """Returns the state of every destination. Raises CommandError."""
         return self.list_rows(DESTINATIONS_PATH, "destinations")
 
     def list_rows(self, path: bytes, rows_key: str) -> list[JsonObject]:
-        """All rows of a list, page after page."""
+        """Returns all rows of a paginated list. Raises CommandError."""
         rows: list[JsonObject] = []
         after = -1
         while True:
@@ -104,13 +104,13 @@
             after = page["next"]
 
     def decode_json(self, response: StatusResponse) -> JsonObject:
-        """The JSON of a response. Raises CommandError where there is none, or the status is not 200."""
+        """Returns the JSON of a response. Raises CommandError if it is no JSON or the status is not 200."""
         if response.status == 404:
             raise CommandError(self.url, STATUS_API_ABSENT)
         try:
             document: JsonObject = orjson.loads(response.body)
         except ValueError as error:
-            problem = f"status {response.status}, and an answer that is no JSON"
+            problem = f"status {response.status}, response is not JSON"
             raise CommandError(self.url, problem) from error
         if response.status != 200:
             status = f"status {response.status}"
--- a/ashpath/cli/submission.py
+++ b/ashpath/cli/submission.py
@@ -10,15 +10,15 @@
 from ashpath.cli.status_client import StatusClient
 from ashpath.core.json_types import JsonObject
 
-FIRST_POLL_S = 0.05  # until the first look at the message's state; doubled up to
-MAX_POLL_S = 0.5
-RESTART_GRACE_S = 5.0  # past its deadline, in which the sender may be starting anew
+FIRST_POLL_S = 0.05  # pause before the first poll of the message's state; doubles after each poll
+MAX_POLL_S = 0.5  # upper bound of that pause
+RESTART_GRACE_S = 5.0  # polling time after the message's deadline, for a sender that is restarting
 
 LIVE_STATES = ("held", "out")
 UNKNOWN_STATE = "unknown"
-NOT_ACCEPTED = "not taken on"
+NOT_ACCEPTED = "not accepted"
 REJECTION_REASONS = {
-    409: "an envelope with this id is held",
+    409: "a message with this id is live",
     413: "the body is too long",
     400: "see --track and --key",
 }
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """What a user submits."""
+    """A message that a user submits."""
 
     trace_id: str
     destination: int
@@ -34,11 +34,11 @@
     idempotency_key: str | None
     ordering_key: str | None
     lifetime_us: int
-    """Until the deadline."""
+    """The time until the deadline, in microseconds."""
     body: bytes
 
     def headers(self) -> dict[str, str]:
-        """As the protocol has them; an idempotency key is drawn where none is given."""
+        """Returns the headers of the request; generates an idempotency key if none is given."""
         headers = {
             "X-Trace-Id": self.trace_id,
             "X-Qos": self.traffic_class,
@@ -52,9 +52,9 @@
 
 
 def submit_message(client: StatusClient, submission: Submission, *, wait: bool) -> JsonObject:
-    """The row that the command prints: id, status and state, and what the sender says besides.
+    """Submits a message and returns its id, status and state, and other fields from the sender.
 
-    Raises CommandError where the message was neither accepted nor rejected.
+    Raises CommandError if the sender returns an unexpected status or does not respond.
     """
     response = client.submit(submission.headers(), submission.body)
     status = response.status
@@ -66,13 +66,17 @@
         return row | {"state": "bounced", "again_ms": seconds and round(seconds * 1000)}
     if status == 500:
         return row | {"state": "aborted"}
-    reason = REJECTION_REASONS.get(status, "not an envelope")
+    reason = REJECTION_REASONS.get(status, "unexpected response")
     problem = f"status {status}, {reason}"
     raise CommandError(client.url, NOT_ACCEPTED, problem)
 
 
 def wait_for_outcome(client: StatusClient, submission: Submission) -> JsonObject:
-    """Its final state. A sender that does not respond may be starting anew: it is polled until the end."""
+    """Polls the sender until the message has a final state, and returns that state.
+
+    A sender that does not respond may be restarting, so polling goes on until RESTART_GRACE_S after the
+    deadline. The state is unknown if that time ends or the sender does not know the message.
+    """
     poll_until = time.monotonic() + submission.lifetime_us / 1e6 + RESTART_GRACE_S
     pause = FIRST_POLL_S
     while time.monotonic() < poll_until:
--- a/ashpath/cli/submit.py
+++ b/ashpath/cli/submit.py
@@ -23,21 +23,21 @@
     "undeliverable": ExitCode.MESSAGE_FAILED,
     "unknown": ExitCode.FAILED,
 }
-"""By the state of the message; any other is no failure."""
+"""Exit codes by the state of the message; any other state is a success."""
 
 
 @click.command()
 @click.option("--to", "destination", required=True, type=click.IntRange(0), help="The destination's number.")
 @click.option("--track", "traffic_class", required=True, help="The traffic class's name.")
-@click.option("--key", help="The idempotency key, by which a retry is recognised; drawn if not given.")
+@click.option("--key", help="The idempotency key, by which a retry is recognised; generated if not given.")
 @click.option("--order", help="Messages of an ordered traffic class with the same ORDER go one at a time.")
 @click.option(
-    "--expires", type=DurationType(), default="16s", show_default=True, help="How long it may be tried."
+    "--expires", type=DurationType(), default="16s", show_default=True, help="The time until its deadline."
 )
 @click.option("--body", type=click.Path(allow_dash=True), help="A file, or - for standard input.")
-@click.option("--id", "trace_id", help="Its id; drawn if not given.")
-@click.option("--wait", is_flag=True, help="Follow it to its outcome (standalone senders).")
-@click.option("--json", "as_json", is_flag=True, help="The answer as a line of JSON.")
+@click.option("--id", "trace_id", help="The message's id; generated if not given.")
+@click.option("--wait", is_flag=True, help="Wait for its final outcome (standalone senders only).")
+@click.option("--json", "as_json", is_flag=True, help="Print the response as a line of JSON.")
 @url_option
 def command(
     destination: int,
@@ -65,7 +65,7 @@
 
 
 def check_name(option: str, value: str | None) -> None:
-    """Raises UsageError where a value cannot stand in a header."""
+    """Raises UsageError if a value cannot be sent in a header."""
     if value is None:
         return
     try:
@@ -76,7 +76,7 @@
 
 
 def read_body(path: str | None) -> bytes:
-    """Raises UsageError where the file cannot be read."""
+    """Returns the body in a file or on standard input. Raises UsageError if it cannot be read."""
     if path is None:
         return b""
     try:
@@ -88,7 +88,7 @@
 
 
 def format_line(row: JsonObject) -> str:
-    """The row for people.
+    """Formats the row for people.
 
     >>> format_line({"id": "9b1f", "status": 503, "state": "bounced", "again_ms": 500})
     '9b1f bounced, come back in 0.5 s'
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def alone(tmp_path: Path) -> Iterator[Alone]:
-    """A standalone sender that a test starts, among stand-ins that run."""
+    """A standalone sender that the test starts; its destinations are stand-ins that already run."""
     sender = Alone(tmp_path)
     yield sender
     sender.stop()
@@ -19,5 +19,5 @@
 
 @pytest.fixture
 def url(alone: Alone) -> str:
-    """Where the sender listens once it is started."""
+    """The URL at which the sender listens once it is started."""
     return f"http://127.0.0.1:{alone.address[1]}"
--- a/tests/cli/test_bad_input.py
+++ b/tests/cli/test_bad_input.py
@@ -1,11 +1,11 @@
-"""What cannot be used or done: one line on standard error, and the exit code."""
+"""Commands with bad input or an unreachable sender: one line on standard error, and the exit code."""
 
 from __future__ import annotations
 
 import pytest
 from support.standalone import Alone
 
-# The command, its exit code, and what the line has. URL is where nobody listens.
+# Each row: the command ~ its exit code ~ a part of the error line. Nothing listens at URL.
 BAD_INPUT = """
     submit --url URL --to 1 --track t              ~ 1 ~ Connection refused
     submit --url URL --track t                     ~ 2 ~ --to
--- a/tests/cli/test_ledger.py
+++ b/tests/cli/test_ledger.py
@@ -1,4 +1,4 @@
-"""`ashpath ledger` over a log whose last record is torn."""
+"""`ashpath ledger` on a write-ahead log whose last record is torn, as after a crash during a write."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_standalone.py
+++ b/tests/cli/test_standalone.py
@@ -1,4 +1,4 @@
-"""A sender from its own file: what clients may ask, its state directory, its file that changes, its log."""
+"""A standalone sender: status API, reload of its file, state directory, full disk, log output and secrets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_status_api_reports_final_outcomes_across_kill(alone: Alone) -> None:
-    """In each state, over a kill too; a message that was never submitted is not known."""
+    """The status API returns each state, also after a kill, and 404 for a message never submitted."""
     alone.rest += '[notices]\nfile = "notices.jsonl"\n'
     alone.destinations[6] = 'endpoints = ["127.0.0.1:1"]'
     alone.write()
@@ -67,8 +67,11 @@
 
 
 def test_reload_preserves_live_messages(alone: Alone) -> None:
-    """Of 200: endpoints replaced; a destination with attempts and a traffic class in use removed."""
-    alone.destinations[5] = 'endpoints = ["127.0.0.1:1"]'  # nothing there: what is for it waits
+    """A reload with 200 live messages loses and repeats none of them.
+
+    It replaces endpoints, and removes a destination with attempts in flight and a traffic class in use.
+    """
+    alone.destinations[5] = 'endpoints = ["127.0.0.1:1"]'  # nothing listens: its messages wait
     alone.destinations[4] = 'endpoints = ["127.0.0.1:1", "127.0.0.1:2"]'
     alone.write()
     alone.start()
@@ -94,7 +97,7 @@
     assert "tracks" not in later
     assert alone.submit("too late", "other", "200", 1) == 503  # no longer listed
     assert alone.submit("new", "other", "200", 2) == 202
-    assert alone.submit("old", "free", "200", 2) == 400  # its messages keep its settings
+    assert alone.submit("old", "free", "200", 2) == 400  # its live messages keep its settings
     until(lambda: all(alone.attempt_count(f"w{number}") == 1 for number in range(198)))
     until(alone.ends("out", "completed"))
     until(alone.ends("out2", "completed"))
@@ -102,12 +105,15 @@
     assert not alone.get("/envelopes")["envelopes"]
     alone.rest += "[kinds.plain]\napart = true\n"
     alone.write()
-    assert "kinds.plain.apart" in alone.reread()  # two gates at once, though no list comes anew
+    assert "kinds.plain.apart" in alone.reread()  # two gates at once, without a new endpoint list
     assert {row["number"]: row["limit"] for row in alone.get("/destinations")["destinations"]}[4] == 2
 
 
 def test_live_messages_keep_removed_traffic_class_after_restart(alone: Alone) -> None:
-    """Live messages keep the settings they were accepted under, whatever became of their traffic class."""
+    """After a restart, live messages keep the settings they were accepted under.
+
+    Their traffic class may have been removed from the file, or changed.
+    """
     alone.destinations[5] = 'endpoints = ["127.0.0.1:1"]'
     alone.write()
     alone.start()
@@ -123,7 +129,7 @@
     alone.start()
     until(alone.ends("f", "completed"))
     until(alone.ends("t", "completed"))
-    until(alone.ends("o", "undeliverable"))  # as it was once-only when it was taken on
+    until(alone.ends("o", "undeliverable"))  # as it was once-only when it was accepted
     until(lambda: all(alone.state(f"{trace}-waits") == "completed" for trace in "fto"))
     assert alone.attempt_count("o") == 1
     assert alone.submit("x", "free", "200", 1) == 400
@@ -132,11 +138,11 @@
     alone.kill(signal.SIGTERM)
     alone.start()
     names = [row["name"] for row in orjson.loads((alone.folder / "state" / "imprint").read_bytes())["tracks"]]
-    assert names == ["tag", "once"], "numbers begin anew once nothing is held"
+    assert names == ["tag", "once"], "ids start again from 0 once no message is live"
 
 
 def test_foreign_state_directory_is_refused_unchanged(alone: Alone, tmp_path: Path) -> None:
-    """Each is one line and exit code 2, and nothing in the directory changes."""
+    """A directory in use, of another sender or damaged gives one line and exit code 2, and is not changed."""
     alone.start()
     alone.destinations[0] = "endpoints = []"
     alone.write()
@@ -168,12 +174,12 @@
 
 
 def directory_contents(folder: Path) -> dict[str, bytes]:
-    """The files of a directory."""
+    """Returns the contents of the files of a directory by name."""
     return {path.name: path.read_bytes() for path in folder.iterdir()}
 
 
 def assert_start_refused(alone: Alone, words: str) -> None:
-    """Asserts that the sender does not start, says why, and leaves the state directory as it is."""
+    """Asserts that the sender does not start, prints the reason, and leaves the state directory unchanged."""
     before = directory_contents(alone.folder / "state")
     run = alone.run("serve", str(alone.file))
     assert run.returncode == 2, run.stderr
@@ -183,8 +189,11 @@
 
 
 def test_start_with_full_disk_or_without_permissions(alone: Alone, tmp_path: Path) -> None:
-    """A full disk keeps no sender from its start: it accepts nothing, ends what it owes, and live messages
-    stay for the next one. Without rights it is one line."""
+    """A sender starts on a full disk: it rejects new messages and finishes live ones.
+
+    The log cannot record their outcomes, so they are live again at the next start. Without permissions for
+    the state directory, the sender does not start.
+    """
     alone.start()
     assert alone.submit("kept", "once", "hang", 1) == 202
     until(lambda: alone.attempt_count("kept"))
@@ -206,7 +215,7 @@
     user_id, state = os.geteuid(), tmp_path / "state"
     state.chmod(0)
     try:
-        os.seteuid(user_id or 65534)  # as a user whom the rights bind
+        os.seteuid(user_id or 65534)  # permissions do not restrict root
         with pytest.raises(StateDirectoryError, match="Permission denied"):
             StateDirectory(state, "n0")
     finally:
@@ -217,7 +226,7 @@
 
 
 def test_unread_log_output_does_not_block_sender(alone: Alone) -> None:
-    """Standard output is full, then closed: the sender serves on."""
+    """The sender goes on delivering messages while standard output is a full pipe, and after it is closed."""
     read_end, write_end = os.pipe()
     fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
     os.write(write_end, b"x" * 4096)
@@ -230,7 +239,7 @@
         output += os.read(read_end, 4096)
     os.close(read_end)
     assert alone.process is not None
-    alone.process.send_signal(signal.SIGHUP)  # a line that nobody can read any more
+    alone.process.send_signal(signal.SIGHUP)  # writes a log line to the closed pipe
     assert alone.submit("after", "once", "200", 1) == 202
     until(alone.ends("after", "completed"))
     os.close(write_end)
@@ -238,7 +247,10 @@
 
 
 def test_closed_standard_streams_are_opened_on_dev_null(alone: Alone) -> None:
-    """No file of the sender may get the number of standard output."""
+    """With closed standard streams, a file of the sender could get the number of standard output.
+
+    Log lines would then be written into the write-ahead log.
+    """
     alone.start(stdout=None, preexec_fn=lambda: os.closerange(0, 3))
     assert alone.submit("c", "once", "200", 1) == 202
     until(alone.ends("c", "completed"))
@@ -251,7 +263,10 @@
 
 
 def test_secrets_are_not_written_to_log(alone: Alone) -> None:
-    """A secret goes with attempts and notifications, never into a line; a missing one is named, not shown."""
+    """Secrets are sent with attempts and notifications, but appear in no log line.
+
+    The error for a missing secret names its key.
+    """
     alone.destinations[1] += '\nauthorization = { env = "ASHPATH_TEST_PASS" }'
     receiver = f"http://127.0.0.1:{alone.servers[1].server_port}/v1/notices"
     alone.rest += f'[notices]\naddress = "{receiver}"\nauthorization = {{ file = "pass" }}\n'
--- a/tests/cli/test_status_commands.py
+++ b/tests/cli/test_status_commands.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def in_flight(alone: Alone, url: str) -> Alone:
-    """A sender that runs, and waits for the response to message `h`."""
+    """A running sender that waits for the response to message `h`."""
     alone.start()
     arguments = ["--to", "1", "--track", "tag", "--body", "-", "--id", "h"]
     assert alone.run("submit", "--url", url, *arguments, input="hang").returncode == 0
--- a/tests/cli/test_submit.py
+++ b/tests/cli/test_submit.py
@@ -1,4 +1,4 @@
-"""`ashpath submit`, against a sender that runs."""
+"""`ashpath submit` with a running sender."""
 
 from __future__ import annotations
 
