--- a/ashpath/cli/ledger.py
+++ b/ashpath/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`ashpath ledger show|verify|stats FOLDER`: reads the write-ahead log of a sender that runs or not."""
+"""`ashpath ledger show|verify|stats FOLDER`: reads the write-ahead log of a running or stopped sender."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 )
 
 folder_argument = click.argument("folder", type=click.Path(path_type=Path))
-json_option = click.option("--json", "as_json", is_flag=True, help="Lines of JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print lines of JSON.")
 
 
 @click.group()
 def command() -> None:
-    """Read the write-ahead log in FOLDER, a sender's state directory or its journal. Nothing is changed."""
+    """Read the write-ahead log in FOLDER, a sender's state directory or its journal, without changing it."""
 
 
 @command.command()
@@ -34,9 +34,9 @@
 @json_option
 def show(folder: Path, as_json: bool) -> int:
     """List its live messages, in the order in which they were accepted."""
-    contents = read(folder)
+    contents = read_contents(folder)
     print_rows(message_rows(contents), as_json=as_json)
-    warn(contents)
+    warn_if_damaged(contents)
     return ExitCode.OK
 
 
@@ -44,9 +44,9 @@
 @folder_argument
 @json_option
 def verify(folder: Path, as_json: bool) -> int:
-    """Say whether every record is whole, and else at which byte the first one that is not stands. Exit code
-    0, or 1."""
-    contents = read(folder)
+    """Report whether every record is complete, or the byte offset of the first one that is not. Exit code 0,
+    or 1."""
+    contents = read_contents(folder)
     if as_json:
         print_json(verification(contents))
     else:
@@ -59,19 +59,19 @@
 @json_option
 def stats(folder: Path, as_json: bool) -> int:
     """Count its records, and its live messages by traffic class and destination."""
-    contents = read(folder)
+    contents = read_contents(folder)
     counts = statistics(contents)
     if as_json:
         print_json(counts)
     else:
         for name, value in counts.items():
             print(f"{name}\t{format_count(value)}")
-    warn(contents)
+    warn_if_damaged(contents)
     return ExitCode.OK
 
 
-def read(folder: Path) -> LogContents:
-    """Raises BadInputError where there is no log that can be opened."""
+def read_contents(folder: Path) -> LogContents:
+    """Returns the contents of the log. Raises BadInputError if it cannot be opened."""
     path = log_path(folder)
     try:
         return read_log(path)
@@ -79,14 +79,14 @@
         raise BadInputError(path, error.strerror) from error
 
 
-def warn(contents: LogContents) -> None:
-    """Says on standard error where the log is not whole."""
+def warn_if_damaged(contents: LogContents) -> None:
+    """Prints the fault of a damaged log on standard error."""
     if contents.fault:
         print(f"ashpath: {verification_summary(contents)}", file=sys.stderr)
 
 
 def format_count(value: object) -> str:
-    """A count, or those of a table.
+    """Formats a count, or a table of counts.
 
     >>> format_count(3), format_count({"free": 2, "tag": 1})
     ('3', 'free 2, tag 1')
--- a/ashpath/config/reference.py
+++ b/ashpath/config/reference.py
@@ -1,4 +1,4 @@
-"""The reference of every key, for `ashpath explain` and docs/configuration.md: made of the schema."""
+"""Generates the reference of every key from the schema, for `ashpath explain` and docs/configuration.md."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import msgspec
 
 from ashpath.config.schema import Configuration
-from ashpath.config.schema_keys import TableKey, alternatives, expected, table_keys, table_type
+from ashpath.config.schema_keys import TableKey, alternatives, as_table_type, describe_expected, table_keys
 from ashpath.config.schema_types import Secret
 from ashpath.config.units import SIZES, TIMES, Duration, Size, format_amount
 
-HEAD = """# The sender's file
+PAGE_HEADER = """# The sender's file
 
 Made by `ashpath explain --markdown` of `ashpath/config/schema.py`; a test fails where this page is stale.
 
@@ -27,24 +27,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ReferenceKey:
-    """One key of the reference."""
+    """The entry of one key in the reference."""
 
     path: str
     expected: str
     default: str
-    """Empty: it must be given."""
+    """Empty if the key is required."""
     reloadable: bool
     doc: str
 
     @property
     def name(self) -> str:
-        """The last part of the path."""
+        """Returns the last part of the path."""
         return self.path.rsplit(".", 1)[-1]
 
 
 @dataclass(frozen=True, slots=True)
 class ReferenceTable:
-    """One table of the reference."""
+    """The section of one table in the reference."""
 
     path: str
     doc: str
@@ -53,20 +53,20 @@
 
 @dataclass(frozen=True, slots=True)
 class InnerTable:
-    """A table below another one."""
+    """A table nested in another one."""
 
-    shape: type[msgspec.Struct]
+    struct_type: type[msgspec.Struct]
     path: str
     reloadable: bool
 
 
 def reference_tables(
-    shape: type[msgspec.Struct] = Configuration, path: str = "", *, reloadable: bool = False
+    struct_type: type[msgspec.Struct] = Configuration, path: str = "", *, reloadable: bool = False
 ) -> Iterator[ReferenceTable]:
-    """Each table of the file; one without keys of its own is left out, and its inner ones are not."""
+    """Yields each table of the file that has keys of its own, before the tables nested in it."""
     keys: list[ReferenceKey] = []
     inner_tables: list[InnerTable] = []
-    for name, row in table_keys(shape).items():
+    for name, row in table_keys(struct_type).items():
         row_path = f"{path}.{name}" if path else name
         inner = inner_table(row, row_path, reloadable=reloadable or row.key.reloadable)
         if inner is not None:
@@ -74,13 +74,13 @@
         if inner is None or inner.path.endswith("[]"):
             keys.append(reference_key(row, row_path, reloadable=reloadable or row.key.reloadable))
     if keys:
-        yield ReferenceTable(path, shape.__doc__ or "", keys)
+        yield ReferenceTable(path, struct_type.__doc__ or "", keys)
     for table in inner_tables:
-        yield from reference_tables(table.shape, table.path, reloadable=table.reloadable)
+        yield from reference_tables(table.struct_type, table.path, reloadable=table.reloadable)
 
 
 def inner_table(row: TableKey, path: str, *, reloadable: bool) -> InnerTable | None:
-    """The table that a key holds, by name, in a list, or alone; None where it holds none."""
+    """Returns the table that a key holds, by name, in a list, or alone; None if the key holds no table."""
     hint = alternatives(row.hint)[0]
     if get_origin(hint) is dict:
         name_hint, inner = get_args(hint)
@@ -90,23 +90,23 @@
         path += "[]"
     else:
         inner = hint
-    shape = table_type(inner)
-    return None if shape is None or shape is Secret else InnerTable(shape, path, reloadable)
+    struct_type = as_table_type(inner)
+    return None if struct_type is None or struct_type is Secret else InnerTable(struct_type, path, reloadable)
 
 
 def reference_key(row: TableKey, path: str, *, reloadable: bool) -> ReferenceKey:
-    """One key that is no table."""
+    """Returns the entry of one key."""
     if row.required:
         default = ""
     elif row.has_factory or row.default in (None, ""):
         default = "none"
     else:
         default = format_value(row.default)
-    return ReferenceKey(path, expected(row.hint, row.key), default, reloadable, row.key.doc)
+    return ReferenceKey(path, describe_expected(row.hint, row.key), default, reloadable, row.key.doc)
 
 
 def format_value(value: object) -> str:
-    """A value as a file has it."""
+    """Returns a value as the file represents it."""
     if isinstance(value, Duration):
         return f'"{format_amount(value, TIMES)}"'
     if isinstance(value, Size):
@@ -119,8 +119,8 @@
 
 
 def markdown_page() -> str:
-    """The whole page."""
-    text = HEAD
+    """Returns the text of docs/configuration.md."""
+    text = PAGE_HEADER
     for table in reference_tables():
         text += f"\n## `[{table.path}]`\n\n{' '.join(table.doc.split())}\n\n"
         text += "| key | wants | default | SIGHUP | what it is for |\n| --- | --- | --- | --- | --- |\n"
@@ -131,11 +131,14 @@
     return text
 
 
-def terminal_lines(wanted: str | None) -> list[str]:
-    """Lines for a terminal; of one key, or of all below it. None found: no lines."""
+def terminal_lines(key_path: str | None) -> list[str]:
+    """Returns the entries of a key and of all keys below it, or of all keys if the path is None.
+
+    The list is empty if no key has this path.
+    """
     lines = []
     for key in reference_keys():
-        if wanted is None or key.path == wanted or key.path.startswith((f"{wanted}.", f"{wanted}[")):
+        if key_path is None or key.path == key_path or key.path.startswith((f"{key_path}.", f"{key_path}[")):
             default = f"default {key.default}" if key.default else "must be given"
             when = "SIGHUP takes it" if key.reloadable else "waits for the next start"
             lines.append(f"{key.path}\n    {key.doc}\n    {key.expected}; {default}; {when}")
@@ -143,11 +146,11 @@
 
 
 def key_paths() -> list[str]:
-    """Every key's path."""
+    """Returns the path of every key."""
     return [key.path for key in reference_keys()]
 
 
 def reference_keys() -> Iterator[ReferenceKey]:
-    """Every key, table by table."""
+    """Yields the entry of every key, table by table."""
     for table in reference_tables():
         yield from table.keys
