--- a/ashpath/cli/demo.py
+++ b/ashpath/cli/demo.py
@@ -46,12 +46,12 @@
     withdrawn = f" + {ends['withdrawn']} withdrawn" if ends["withdrawn"] else ""
     print(
         f"handed in {summary.submitted} = completed {ends['completed']} + bounced {ends['bounced']}"
-        f" + aborted {ends['aborted']}{withdrawn}; shots {summary.attempts}, doubles {summary.doubles},"
+        f" + aborted {ends['aborted']}{withdrawn}; shots {summary.attempts}, doubles {summary.duplicates},"
         f" unaccounted for {len(summary.unaccounted)}"
     )
     for trace_id in summary.unaccounted:
         print(f"no end: {trace_id}")
-    return ExitCode.OK if summary.is_sound else ExitCode.FAILED
+    return ExitCode.OK if summary.is_consistent else ExitCode.FAILED
 
 
 @contextmanager
--- a/ashpath/emulator/demo/clients.py
+++ b/ashpath/emulator/demo/clients.py
@@ -82,21 +82,21 @@
         )
         body = b"%d stage 3" % TRAFFIC_CLASSES.index(traffic_class)
         try:
-            answer = self._client.request(b"POST %s HTTP/1.1" % wire_names.SUBMIT_PATH, headers, body)
+            response = self._client.request(b"POST %s HTTP/1.1" % wire_names.SUBMIT_PATH, headers, body)
         except RequestError:
             return  # what became of it is asked for later
-        if answer.status in (200, 202):
+        if response.status in (200, 202):
             self._accepted.add(message_id)
-        elif answer.status in (429, 503):
-            self._end(message_id, FinalOutcome.REJECTED.value)
+        elif response.status in (429, 503):
+            self._record_end(message_id, FinalOutcome.REJECTED.value)
         else:
-            self._end(message_id, FinalOutcome.FAILED.value)
+            self._record_end(message_id, FinalOutcome.FAILED.value)
 
     def notified(self, notice: Notice) -> None:
         """The sender could not deliver what it had accepted."""
-        self._end(notice.message_id, notice.outcome.value)
+        self._record_end(notice.message_id, notice.outcome.value)
 
-    def _end(self, message_id: str, state: str) -> None:
+    def _record_end(self, message_id: str, state: str) -> None:
         destination = self.open.pop(message_id, None)
         if destination is not None:
             destination.ends[state] += 1
@@ -106,9 +106,10 @@
         for message_id in list(self.open):
             status, body = self._get(wire_names.MESSAGE_PATH_PREFIX + message_id.encode())
             if status == 404 and message_id not in self._accepted:
-                self._end(message_id, FinalOutcome.REJECTED.value)  # no answer came, and it was not accepted
+                # The client received no response, and the sender did not accept the message.
+                self._record_end(message_id, FinalOutcome.REJECTED.value)
             elif status == 200 and orjson.loads(body)["state"] in ENDED_STATES:
-                self._end(message_id, orjson.loads(body)["state"])
+                self._record_end(message_id, orjson.loads(body)["state"])
 
     def destination_states(self) -> dict[int, JsonObject]:
         """The sender's own view of each destination, by number; none while it does not answer."""
@@ -119,7 +120,7 @@
     def _get(self, path: bytes) -> tuple[int, bytes]:
         """Status and body; 0 where no answer came."""
         try:
-            answer = self._client.request(b"GET %s HTTP/1.1" % path)
+            response = self._client.request(b"GET %s HTTP/1.1" % path)
         except RequestError:
             return 0, b""
-        return answer.status, answer.body
+        return response.status, response.body
--- a/ashpath/emulator/demo/run.py
+++ b/ashpath/emulator/demo/run.py
@@ -23,7 +23,7 @@
 from ashpath.emulator.units import SECOND
 
 RATE = 40.0  # messages a second
-TAIL_S = 14.0  # after the last message, by which each must have its end: over the longest deadline
+FINAL_WAIT_S = 14.0  # after the last message, by which each must have its end: over the longest deadline
 DESCRIPTORS = 4096
 REQUEST_TIMEOUT_S = 60.0
 START_TIMEOUT_S = 15.0
@@ -40,19 +40,19 @@
     ends: Counter[str]
     """By the names of the status API."""
     attempts: int
-    doubles: int
+    duplicates: int
     unaccounted: list[str]
 
     @property
-    def is_sound(self) -> bool:
+    def is_consistent(self) -> bool:
         """Whether every message has one end, and none was doubled."""
-        return not self.unaccounted and not self.doubles and self.submitted == sum(self.ends.values())
+        return not self.unaccounted and not self.duplicates and self.submitted == sum(self.ends.values())
 
 
 class TableDisplay(Protocol):
     """Whoever shows the table."""
 
-    def __call__(self, passed_s: float, rows: list[JsonObject], /) -> None:
+    def __call__(self, elapsed_s: float, rows: list[JsonObject], /) -> None:
         """The state after so many seconds: a row for each destination."""
 
 
@@ -80,16 +80,16 @@
         self.file.write_text(text)
         self._sender = SenderProcess(self.file, folder / "log", address, limits)
 
-    def run(self, display: TableDisplay, every_s: float = TABLE_INTERVAL_S) -> Summary:
+    def run(self, display: TableDisplay, interval_s: float = TABLE_INTERVAL_S) -> Summary:
         """Plays the demonstration. Raises SenderStartError."""
         self._start_sender()
         self._schedule_outage()
         submitting = gevent.spawn(self.clients.submit_for, self.seconds)
         began = monotonic()
         killed = False
-        until = began + self.seconds + TAIL_S
+        until = began + self.seconds + FINAL_WAIT_S
         while (not submitting.dead or self.clients.open) and monotonic() < until:
-            gevent.sleep(every_s)
+            gevent.sleep(interval_s)
             if self._kill and not killed and monotonic() - began > self.seconds / 2:
                 killed = True
                 self._restart_sender()
@@ -148,10 +148,10 @@
     def _summary(self) -> Summary:
         ends = sum((destination.ends for destination in self.destinations), Counter[str]())
         attempts = 0
-        doubles = 0
+        duplicates = 0
         for destination in self.destinations:
             for message_id, tally in destination.model.tallies.items():
                 attempts += tally.calls
-                doubles += tally.overlapped
-                doubles += tally.effects > 1 and message_id in self.clients.deduplicated
-        return Summary(self.clients.submitted, ends, attempts, doubles, list(self.clients.open))
+                duplicates += tally.overlapped
+                duplicates += tally.effects > 1 and message_id in self.clients.deduplicated
+        return Summary(self.clients.submitted, ends, attempts, duplicates, list(self.clients.open))
