--- a/ashpath/emulator/fault_injection/call_faults.py
+++ b/ashpath/emulator/fault_injection/call_faults.py
@@ -80,7 +80,7 @@
 
     def __init__(self, faults: ProcessFaults) -> None:
         self.faults = faults
-        self.seen = [0] * len(faults.calls)  # calls within the time of each fault
+        self.matching_calls = [0] * len(faults.calls)  # calls within the time of each fault
         self.injected: dict[str, int] = {}  # by call and error
 
     def next_error(self, call: FaultyCall, elapsed_s: float) -> str | None:
@@ -88,8 +88,8 @@
         for number, fault in enumerate(self.faults.calls):
             if fault.call is not call or not fault.begin_s <= elapsed_s < fault.end_s:
                 continue
-            self.seen[number] += 1
-            failed_before = self.seen[number] - 1 - fault.skip
+            self.matching_calls[number] += 1
+            failed_before = self.matching_calls[number] - 1 - fault.skip
             if failed_before < 0 or (fault.count and failed_before >= fault.count):
                 continue
             key = f"{call.value} {fault.error}"
--- a/ashpath/emulator/fault_injection/discovery_agent.py
+++ b/ashpath/emulator/fault_injection/discovery_agent.py
@@ -9,7 +9,7 @@
 | CLOSE | the connection ends in order |
 | UNREADABLE | 200, and half a list |
 
-Replies are taken from `script`, one a poll; without one left, `standing` holds. Notices are taken at any
+Replies are taken from `script`, one a poll; without one left, `default_reply` holds. Notices are taken at any
 time, also while polls fail.
 """
 
@@ -75,13 +75,13 @@
         self.revision = revision
         self.retry_after_s = retry_after_s
         self.script: deque[AgentReply] = deque()
-        self.standing = AgentReply.ANSWER
+        self.default_reply = AgentReply.ANSWER
         self.delay_s = 0.0  # before each answer
         self.polls: list[PollRecord] = []
         self.notices: list[tuple[JsonObject, float]] = []  # each line, and when it came
         self._limits = limits
         self._changed = Event()
-        self._silenced = 0  # how often open watches fell silent
+        self._silence_count = 0  # how often open watches fell silent
         self._server = StreamServer((LOOPBACK, 0), self._serve)
         self._server.start()
         self.address = f"{LOOPBACK}:{self._server.server_port}"
@@ -95,7 +95,7 @@
 
     def silence_watches(self) -> None:
         """The watches that are open now are never answered."""
-        self._silenced += 1
+        self._silence_count += 1
 
     def stop(self) -> None:
         """Closes the listening socket."""
@@ -120,7 +120,7 @@
         """Whether the connection goes on."""
         query = parse_qs(request.url.partition(b"?")[2])
         index = int(query[b"index"][0]) if b"index" in query else None
-        reply = self.script.popleft() if self.script else self.standing
+        reply = self.script.popleft() if self.script else self.default_reply
         record = PollRecord(monotonic(), index, reply)
         self.polls.append(record)
         if reply is AgentReply.ANSWER:
@@ -133,7 +133,7 @@
         if reply is AgentReply.SILENT:
             gevent.sleep(SILENCE_S)
         elif reply is AgentReply.RESET:
-            reset(connection.sock)
+            reset_connection(connection.sock)
         elif reply is AgentReply.UNREADABLE:
             connection.write(encode_message(b"HTTP/1.1 200 OK", [], b'{"members":['))
             return True
@@ -141,9 +141,9 @@
 
     def _answer(self, connection: HttpConnection, record: PollRecord, wait_s: float) -> bool:
         if record.index is not None and record.index >= self.revision:
-            silenced_before = self._silenced
+            silenced_before = self._silence_count
             self._changed.wait(wait_s)
-            if self._silenced != silenced_before:
+            if self._silence_count != silenced_before:
                 record.reply = AgentReply.SILENT
                 gevent.sleep(SILENCE_S)
                 return False
@@ -161,7 +161,7 @@
         return True
 
 
-def reset(sock: socket.socket) -> None:
+def reset_connection(sock: socket.socket) -> None:
     """Ends a connection with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
--- a/ashpath/emulator/fault_injection/process_faults.py
+++ b/ashpath/emulator/fault_injection/process_faults.py
@@ -64,14 +64,14 @@
         owner: object,
         name: str,
         call: FaultyCall,
-        short: ShortCall | None = None,
+        short_call: ShortCall | None = None,
     ) -> None:
         real = getattr(owner, name)
 
         def faulty(*arguments: Any, **options: Any) -> Any:  # noqa: ANN401 - stands for the real call
             if options.get("fileno") is not None:  # no socket is made: one that was accepted is wrapped
                 return real(*arguments, **options)
-            if call is FaultyCall.RECEIVE and self._is_of_client(arguments[0]):
+            if call is FaultyCall.RECEIVE and self._is_client_connection(arguments[0]):
                 return real(*arguments, **options)  # a client's broken connection owes it nothing
             error = self.counter.next_error(call, time.monotonic() - self.started_at)
             if error is None:
@@ -79,11 +79,11 @@
             self._write_report()
             if error != SHORT:
                 raise os_error(error)
-            return real(*arguments, **options) if short is None else short(real, *arguments)
+            return real(*arguments, **options) if short_call is None else short_call(real, *arguments)
 
         setattr(owner, name, faulty)
 
-    def _is_of_client(self, sock: socket.socket) -> bool:
+    def _is_client_connection(self, sock: socket.socket) -> bool:
         """Whether it was accepted: it has the port that the sender listens on."""
         try:
             return int(sock.getsockname()[1]) == self.listening_port
--- a/ashpath/emulator/fault_injection/tcp_proxy.py
+++ b/ashpath/emulator/fault_injection/tcp_proxy.py
@@ -9,8 +9,8 @@
 | SILENT | nothing: what the caller sends is read and dropped |
 | HALF_RESPONSE | the first half of what the target answers first, and then nothing |
 
-A connection keeps the mode that it was accepted under. `forget` ends what is open: the caller's side is
-reset, and the target's is closed. `FullBacklog` is an address at which no dial ends.
+A connection keeps the mode that it was accepted under. `reset_connections` ends what is open: the caller's
+side is reset, and the target's is closed. `FullBacklog` is an address at which no dial ends.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashpath.emulator.fault_injection.discovery_agent import reset
+from ashpath.emulator.fault_injection.discovery_agent import reset_connection
 from ashpath.emulator.stand_ins import LOOPBACK
 
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 SILENCE_S = 60.0
 FILLING_CONNECTIONS = 4  # more than a backlog of 0 takes
 
@@ -57,13 +57,13 @@
     def stop(self) -> None:
         """Closes the listening socket, and resets what is open."""
         self._server.stop(timeout=0)
-        self.forget()
+        self.reset_connections()
 
-    def forget(self) -> None:
+    def reset_connections(self) -> None:
         """Resets all open connections."""
         for caller, target in list(self._open.items()):
             with suppress(OSError):  # it has just been closed
-                reset(caller)
+                reset_connection(caller)
             if target is not None:
                 target.close()
         self._open.clear()
@@ -73,21 +73,21 @@
         self.accepted[mode] += 1
         self._open[caller] = None
         try:
-            self._carry(caller, mode)
+            self._handle(caller, mode)
         except OSError:
             pass
         finally:
             self._open.pop(caller, None)
             caller.close()
 
-    def _carry(self, caller: socket.socket, mode: ProxyMode) -> None:
+    def _handle(self, caller: socket.socket, mode: ProxyMode) -> None:
         if mode is ProxyMode.RESET:
-            reset(caller)
+            reset_connection(caller)
         elif mode is ProxyMode.RESET_AFTER_BYTE:
             caller.recv(1)
-            reset(caller)
+            reset_connection(caller)
         elif mode is ProxyMode.SILENT:
-            while caller.recv(PIECE_BYTES):
+            while caller.recv(CHUNK_BYTES):
                 pass
         else:
             if mode is ProxyMode.LATE:
@@ -100,8 +100,8 @@
         requests = gevent.spawn(copy, caller, target)
         try:
             if half:
-                piece = target.recv(PIECE_BYTES)
-                caller.sendall(piece[: len(piece) // 2])
+                chunk = target.recv(CHUNK_BYTES)
+                caller.sendall(chunk[: len(chunk) // 2])
                 gevent.sleep(SILENCE_S)
             copy(target, caller)
         finally:
@@ -112,8 +112,8 @@
 def copy(source: socket.socket, sink: socket.socket) -> None:
     """Carries bytes until either side ends."""
     with suppress(OSError):
-        while piece := source.recv(PIECE_BYTES):
-            sink.sendall(piece)
+        while chunk := source.recv(CHUNK_BYTES):
+            sink.sendall(chunk)
         sink.shutdown(socket.SHUT_WR)
 
 
--- a/ashpath/emulator/soak/clients.py
+++ b/ashpath/emulator/soak/clients.py
@@ -7,17 +7,17 @@
 
 import gevent
 
-from ashpath.emulator.soak.records import DayRecords, Effect, Submission
+from ashpath.emulator.soak.records import Effect, SoakRecords, Submission
 from ashpath.server import wire_names
 from ashpath.server.http.connection import HttpConnection, open_connection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.limits import ServerLimits
 
-ANSWER_TIMEOUT_S = 0.4
-MOST_IDLE = 6
+RESPONSE_TIMEOUT_S = 0.4
+MAX_IDLE_CONNECTIONS = 6
 DEADLINES_S = (1.0, 2.5, 6.0)
-KEYS = ("", "", "a", "b")
+ORDERING_KEYS = ("", "", "a", "b")
 
 
 class SoakClients:
@@ -29,7 +29,7 @@
         address: tuple[str, int],
         rate: float,
         destinations: int,
-        records: DayRecords,
+        records: SoakRecords,
         random: Random,
         limits: ServerLimits,
     ) -> None:
@@ -48,7 +48,7 @@
         """Never returns."""
         while True:
             gevent.sleep(self._random.expovariate(self.rate))
-            gevent.spawn(self._submit, self._draw())
+            gevent.spawn(self._submit, self._draw_submission())
 
     def connect_idle(self, count: int) -> None:
         """So many clients connect and ask for nothing."""
@@ -58,7 +58,7 @@
             except OSError:
                 return
 
-    def _draw(self) -> Submission:
+    def _draw_submission(self) -> Submission:
         self._number += 1
         effect = self._random.choice(tuple(Effect))
         now = monotonic()
@@ -67,7 +67,7 @@
             sender=self.sender,
             effect=effect,
             destination=self._random.randrange(self.destinations),
-            ordering_key=self._random.choice(KEYS) if effect is Effect.DEDUPLICATED else "",
+            ordering_key=self._random.choice(ORDERING_KEYS) if effect is Effect.DEDUPLICATED else "",
             sent_at=now,
             deadline_at=now + self._random.choice(DEADLINES_S),
         )
@@ -76,7 +76,7 @@
         connection = self._take_idle()
         submission.connection_is_new = connection is None
         try:
-            with gevent.Timeout(ANSWER_TIMEOUT_S):
+            with gevent.Timeout(RESPONSE_TIMEOUT_S):
                 if connection is None:
                     connection = open_connection(self.address, self._limits)
                 submission.sent_at = monotonic()
@@ -100,7 +100,7 @@
     def _take_idle(self) -> HttpConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_idle() and len(self._idle) < MOST_IDLE:
+            if connection.is_idle() and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 return connection
             connection.close()
         return None
--- a/ashpath/emulator/soak/day.py
+++ b/ashpath/emulator/soak/day.py
@@ -16,36 +16,36 @@
 from ashpath.emulator.fault_injection.tcp_proxy import ProxyMode
 from ashpath.emulator.soak.clients import SoakClients
 from ashpath.emulator.soak.endpoints import SoakEndpoint
-from ashpath.emulator.soak.judge import JudgeSettings
+from ashpath.emulator.soak.judge import RuleCheckerSettings
 from ashpath.emulator.soak.plan import (
     DESTINATIONS,
     SENDERS,
     DrainEvent,
     OutageEvent,
     ProxyEvent,
-    Restart,
     RestartEvent,
     SoakPlan,
+    StopMethod,
 )
-from ashpath.emulator.soak.records import DayRecords, Departure, Effect, NetworkFault, Outage
+from ashpath.emulator.soak.records import Departure, Effect, NetworkFault, Outage, SoakRecords
 from ashpath.emulator.soak.sender import SoakSender
 from ashpath.emulator.stand_ins import free_port, stand_in_limits
 
 NETWORK_CALLS = (FaultyCall.SOCKET, FaultyCall.CONNECT, FaultyCall.RECEIVE)
-AGENTS = 2  # of each sender: SIGHUP moves it to the second and back
-MOVE_PAUSE_S = 0.3
-SILENCE_ALLOWED_S = 6.0
-MOVE_ALLOWED_S = 4.0
-WINDOW_MS = 5000.0
-GRACE_MS = 250.0
+AGENTS_PER_SENDER = 2  # of each sender: SIGHUP moves it to the second and back
+RELOAD_INTERVAL_S = 0.3
+SILENT_WATCH_TIMEOUT_S = 6.0
+RELOAD_TIMEOUT_S = 4.0
+DEDUPLICATION_WINDOW_MS = 5000.0
+DRAIN_GRACE_MS = 250.0
 COLD_SHARE = 0.3
 OVERLOAD_MULTIPLE = 3.0
 OVERLOAD_MS = 1000.0
-END_S = 9.0  # behind the last request: the longest deadline, and a restart
-START_S = 15.0  # for all senders to be ready
+FINAL_WAIT_S = 9.0  # behind the last request: the longest deadline, and a restart
+START_TIMEOUT_S = 15.0  # for all senders to be ready
 
 
-def day_settings() -> JsonObject:
+def soak_settings() -> JsonObject:
     """Settings of the day, as the platform writes them."""
     classes = [
         {
@@ -53,7 +53,7 @@
             "deadline": 8000.0,
             "slo": 1000.0,
             "repeat": repeat,
-            "window": WINDOW_MS,
+            "window": DEDUPLICATION_WINDOW_MS,
             "importance": 1.0,
             "one-at-a-time": effect is Effect.DEDUPLICATED,
         }
@@ -75,7 +75,7 @@
         },
         "specifics": {"slots": 48},
         "contract": {
-            "drain-grace": GRACE_MS,
+            "drain-grace": DRAIN_GRACE_MS,
             "order-settle": 200.0,
             "cold-from": COLD_SHARE,
             "fall": OVERLOAD_MS,
@@ -85,24 +85,24 @@
     }
 
 
-def judge_settings(plan: SoakPlan) -> JudgeSettings:
+def rule_checker_settings(plan: SoakPlan) -> RuleCheckerSettings:
     """What the settings come to for the judge."""
     capacity = plan.rate * SENDERS / DESTINATIONS
-    return JudgeSettings(
-        grace_s=GRACE_MS / 1000,
-        window_s=WINDOW_MS / 1000,
+    return RuleCheckerSettings(
+        grace_s=DRAIN_GRACE_MS / 1000,
+        window_s=DEDUPLICATION_WINDOW_MS / 1000,
         overload_s=OVERLOAD_MS / 1000,
         cold_rate=COLD_SHARE * capacity,
         overload_multiple=OVERLOAD_MULTIPLE,
     )
 
 
-class SoakDay:
+class SoakRun:
     """One day in one folder, which has the senders' logs and state afterwards."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan = plan
-        self.records = DayRecords()
+        self.records = SoakRecords()
         limits = stand_in_limits(descriptors=4096, timeout_s=60.0)
         random = Random(f"day {plan.seed}")
         self.endpoints = [
@@ -113,7 +113,7 @@
         self.senders = []
         self.clients = []
         for number in range(SENDERS):
-            agents = [DiscoveryAgent(self.members(number), limits) for _ in range(AGENTS)]
+            agents = [DiscoveryAgent(self.members(number), limits) for _ in range(AGENTS_PER_SENDER)]
             for agent in agents:
                 agent.retry_after_s = 2.0
             faults = plan.process_faults[number]
@@ -121,7 +121,7 @@
                 number,
                 free_port(),
                 folder / f"n{number}",
-                day_settings(),
+                soak_settings(),
                 agents,
                 faults,
                 self.records,
@@ -140,7 +140,7 @@
             for endpoint in self.endpoints
         ]
 
-    def play(self) -> DayRecords:
+    def play(self) -> SoakRecords:
         """Returns what was seen, once all that was accepted is due."""
         try:
             for sender in self.senders:
@@ -151,13 +151,13 @@
             gevent.sleep(self.plan.duration_s)
             for greenlet in self._greenlets[: len(self.clients)]:
                 greenlet.kill()
-            gevent.sleep(END_S)
+            gevent.sleep(FINAL_WAIT_S)
             return self._collect()
         finally:
             self.stop()
 
     def _await_start(self) -> None:
-        until = monotonic() + START_S
+        until = monotonic() + START_TIMEOUT_S
         while monotonic() < until and not all(
             incarnation.ready_at for incarnation in self.records.incarnations
         ):
@@ -171,13 +171,13 @@
         events += [(event.at, lambda event=event: self._restart(event)) for event in plan.restarts]  # type: ignore[misc]  # bound in the loop
         events += [(event.at, lambda event=event: self._drain(event)) for event in plan.drains]  # type: ignore[misc]  # bound in the loop
         events += [(event.at, lambda event=event: self._fail_connections(event)) for event in plan.proxies]  # type: ignore[misc]  # bound in the loop
-        events += [(event.at, lambda event=event: self._outage(event)) for event in plan.outages]  # type: ignore[misc]  # bound in the loop
+        events += [(event.at, lambda event=event: self._cause_outage(event)) for event in plan.outages]  # type: ignore[misc]  # bound in the loop
         for at, action in events:
             self._greenlets.append(gevent.spawn_later(began + at - monotonic(), action))
 
     def _restart(self, event: RestartEvent) -> None:
         sender = self.senders[event.sender]
-        if event.how is Restart.TERMINATE:
+        if event.how is StopMethod.TERMINATE:
             sender.terminate()
         else:
             sender.kill()
@@ -185,40 +185,40 @@
 
     def _drain(self, event: DrainEvent) -> None:
         """An endpoint drains at all agents, whose open watches fall silent just then."""
-        endpoint = next(one for one in self.endpoints if one.destination == event.destination)
+        endpoint = next(endpoint for endpoint in self.endpoints if endpoint.destination == event.destination)
         self.draining.add(endpoint.endpoint_id)
         for sender in self.senders:
             for agent in sender.agents:
                 agent.silence_watches()
                 agent.script.extend(event.replies)
                 agent.change(self.members(sender.number), revision=5)
-        received_by = monotonic() + SILENCE_ALLOWED_S
+        received_by = monotonic() + SILENT_WATCH_TIMEOUT_S
         for move in range(event.moves):
-            gevent.sleep(MOVE_PAUSE_S)
+            gevent.sleep(RELOAD_INTERVAL_S)
             for sender in self.senders:
-                sender.reload(sender.agents[(move + 1) % AGENTS])
+                sender.reload(sender.agents[(move + 1) % AGENTS_PER_SENDER])
         if event.moves:
-            received_by = max(received_by, monotonic() + MOVE_ALLOWED_S)
+            received_by = max(received_by, monotonic() + RELOAD_TIMEOUT_S)
         for sender in self.senders:
             self.records.departures.append(Departure(sender.number, endpoint.endpoint_id, received_by))
 
     def _fail_connections(self, event: ProxyEvent) -> None:
-        endpoints = [one for one in self.endpoints if one.destination == event.destination]
+        endpoints = [endpoint for endpoint in self.endpoints if endpoint.destination == event.destination]
         proxies = [proxy for endpoint in endpoints for proxy in endpoint.proxies]
         for endpoint in endpoints:
             endpoint.sends_retry_after = False
         for proxy in proxies:
             proxy.mode = event.mode
-            proxy.forget()
+            proxy.reset_connections()
         gevent.sleep(event.until - event.at)
         for proxy in proxies:
             proxy.mode = ProxyMode.FORWARD
-            proxy.forget()
+            proxy.reset_connections()
         for endpoint in endpoints:
             endpoint.sends_retry_after = True
 
-    def _outage(self, event: OutageEvent) -> None:
-        endpoints = [one for one in self.endpoints if one.destination == event.destination]
+    def _cause_outage(self, event: OutageEvent) -> None:
+        endpoints = [endpoint for endpoint in self.endpoints if endpoint.destination == event.destination]
         began_at = monotonic()
         for endpoint in endpoints:
             endpoint.down = True
@@ -227,7 +227,7 @@
             endpoint.down = False
         self.records.outages.append(Outage(event.destination, began_at, monotonic()))
 
-    def _collect(self) -> DayRecords:
+    def _collect(self) -> SoakRecords:
         records = self.records
         records.ended_at = monotonic()
         for incarnation in records.incarnations:
--- a/ashpath/emulator/soak/endpoints.py
+++ b/ashpath/emulator/soak/endpoints.py
@@ -10,9 +10,9 @@
 from gevent.server import StreamServer
 
 from ashpath.core.json_types import JsonObject
-from ashpath.emulator.fault_injection.discovery_agent import reset
+from ashpath.emulator.fault_injection.discovery_agent import reset_connection
 from ashpath.emulator.fault_injection.tcp_proxy import FaultProxy
-from ashpath.emulator.soak.records import Call, DayRecords, Reply
+from ashpath.emulator.soak.records import Call, Reply, SoakRecords
 from ashpath.emulator.stand_ins import LOOPBACK
 from ashpath.server import wire_names
 from ashpath.server.http.connection import HttpConnection
@@ -22,10 +22,10 @@
 
 RETRY_AFTER_S = 0.6
 HANG_S = 30.0
-LOST_ANSWER_S = 0.2  # a connection that ends so soon behind an answer has lost it
-WORK_S = (0.002, 0.06)
+LOST_RESPONSE_S = 0.2  # a connection that ends so soon behind an answer has lost it
+PROCESSING_TIME_RANGE_S = (0.002, 0.06)
 FAULT_SHARE = 0.06  # of the calls of a destination that is up
-FAULTS = (Reply.OVERLOADED, Reply.REFUSED, Reply.RESET, Reply.HUNG)
+FAULT_REPLIES = (Reply.OVERLOADED, Reply.REFUSED, Reply.RESET, Reply.HUNG)
 STATUS_LINES = {
     Reply.DELIVERED: b"HTTP/1.1 200 OK",
     Reply.OVERLOADED: b"HTTP/1.1 429 X",
@@ -41,7 +41,7 @@
         endpoint_id: str,
         destination: int,
         senders: int,
-        records: DayRecords,
+        records: SoakRecords,
         random: Random,
         limits: ServerLimits,
     ) -> None:
@@ -92,7 +92,7 @@
             pass
         finally:
             connection.close()
-            if calls and monotonic() - calls[-1].ended_at < LOST_ANSWER_S:
+            if calls and monotonic() - calls[-1].ended_at < LOST_RESPONSE_S:
                 calls[-1].retry_after_s = 0.0  # the sender ended it in place of reading the answer
 
     def _respond(self, connection: HttpConnection, sender: int, calls: list[Call]) -> bool:
@@ -104,7 +104,7 @@
         self._records.calls.append(call)
         calls[:] = [call]
         try:
-            return self._carry_out(connection, call)
+            return self._send_reply(connection, call)
         finally:
             call.ended_at = call.ended_at or monotonic()
 
@@ -113,18 +113,18 @@
             return Reply.RESET
         if self._random.random() >= FAULT_SHARE:
             return Reply.DELIVERED
-        reply = self._random.choice(FAULTS)
+        reply = self._random.choice(FAULT_REPLIES)
         return Reply.REFUSED if reply is Reply.OVERLOADED and not self.sends_retry_after else reply
 
-    def _carry_out(self, connection: HttpConnection, call: Call) -> bool:
+    def _send_reply(self, connection: HttpConnection, call: Call) -> bool:
         if call.reply is Reply.HUNG:
             with gevent.Timeout(HANG_S, False):  # type: ignore[arg-type]  # False: the block just ends
                 connection.receive()  # until the sender gives up
             return False
         if call.reply is Reply.RESET:
-            reset(connection.sock)
+            reset_connection(connection.sock)
             return False
-        gevent.sleep(self._random.uniform(*WORK_S))
+        gevent.sleep(self._random.uniform(*PROCESSING_TIME_RANGE_S))
         headers = []
         if call.reply is Reply.OVERLOADED:
             call.retry_after_s = RETRY_AFTER_S
--- a/ashpath/emulator/soak/plan.py
+++ b/ashpath/emulator/soak/plan.py
@@ -13,7 +13,7 @@
 
 SENDERS = 3
 DESTINATIONS = 3
-SETTLED_S = 1.5  # from the start of the day to its first fault
+FIRST_FAULT_S = 1.5  # from the start of the day to its first fault
 FAILING_REPLIES = (
     AgentReply.SILENT,
     AgentReply.REJECT,
@@ -24,7 +24,7 @@
 PROXY_MODES = (ProxyMode.LATE, ProxyMode.RESET, ProxyMode.RESET_AFTER_BYTE, ProxyMode.HALF_RESPONSE)
 
 
-class Restart(Enum):
+class StopMethod(Enum):
     """How a sender ends before it is started again."""
 
     TERMINATE = "SIGTERM, and SIGKILL 3.7 s later"
@@ -36,7 +36,7 @@
 
     at: float
     sender: int
-    how: Restart
+    how: StopMethod
 
 
 class DrainEvent(Struct, frozen=True):
@@ -85,21 +85,21 @@
     """The same for the same seed."""
     random = Random(f"soak {seed}")
     last = duration_s - 5.0
-    drain_at = random.uniform(SETTLED_S, last / 2)
+    drain_at = random.uniform(FIRST_FAULT_S, last / 2)
     replies = tuple(random.choice(FAILING_REPLIES) for _ in range(random.randrange(3)))
     drain = DrainEvent(drain_at, 0, replies, random.choice((0, 0, 1, 4)))
     restarts = [
-        RestartEvent(random.uniform(SETTLED_S, last), sender, random.choice(tuple(Restart)))
+        RestartEvent(random.uniform(FIRST_FAULT_S, last), sender, random.choice(tuple(StopMethod)))
         for sender in range(SENDERS)
         if random.random() < 0.6
     ]
     proxies = []
     if random.random() < 0.7:
-        at = random.uniform(SETTLED_S, last)
+        at = random.uniform(FIRST_FAULT_S, last)
         proxies = [ProxyEvent(at, at + random.uniform(0.5, 2.0), 1, random.choice(PROXY_MODES))]
     outages = []
     if random.random() < 0.5:
-        at = random.uniform(SETTLED_S, last / 2)
+        at = random.uniform(FIRST_FAULT_S, last / 2)
         outages = [OutageEvent(at, at + random.uniform(2.5, 4.0), 2)]
     return SoakPlan(
         seed=seed,
--- a/ashpath/emulator/soak/records.py
+++ b/ashpath/emulator/soak/records.py
@@ -101,7 +101,7 @@
     ended_at: float
 
 
-class DayRecords(Struct):
+class SoakRecords(Struct):
     """Of one day, to be judged once it is over."""
 
     submissions: dict[str, Submission] = field(default_factory=dict)
--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -18,7 +18,7 @@
 from ashpath.emulator.fault_injection.discovery_agent import DiscoveryAgent
 from ashpath.emulator.fault_injection.launcher import SCHEDULE_VARIABLE
 from ashpath.emulator.http_client import HttpClient
-from ashpath.emulator.soak.records import DayRecords, Incarnation
+from ashpath.emulator.soak.records import Incarnation, SoakRecords
 from ashpath.emulator.stand_ins import LOOPBACK
 from ashpath.server import wire_names
 from ashpath.server.limits import ServerLimits
@@ -27,7 +27,7 @@
 READY_POLL_S = 0.02
 READY_TIMEOUT_S = 0.5
 KILL_AFTER_TERM_S = 3.7
-DOWN_S = 0.6
+DOWNTIME_S = 0.6
 
 
 class SoakSender:
@@ -41,7 +41,7 @@
         settings: JsonObject,
         agents: list[DiscoveryAgent],
         faults: ProcessFaults,
-        records: DayRecords,
+        records: SoakRecords,
         limits: ServerLimits,
     ) -> None:
         self.number = number
@@ -133,7 +133,7 @@
             if process.poll() is None:
                 process.kill()
                 process.wait()
-            gevent.sleep(DOWN_S)
+            gevent.sleep(DOWNTIME_S)
 
     def _incarnation_index(self) -> int:
         numbers = [
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -20,8 +20,8 @@
 from gevent.pool import Pool
 from rich.progress import Progress
 
-from ashpath.emulator.soak.day import SoakDay, judge_settings
-from ashpath.emulator.soak.judge import BrokenRule, Judge
+from ashpath.emulator.soak.day import SoakRun, rule_checker_settings
+from ashpath.emulator.soak.judge import BrokenRule, RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
 
 SHOWN = 4  # findings of one seed that are printed
@@ -30,14 +30,14 @@
 def play_seed(seed: int, folder: Path) -> list[BrokenRule]:
     """The rules that one day broke; its records are in the folder then."""
     plan = draw_plan(seed)
-    day_folder = folder / f"seed-{seed}"
-    records = SoakDay(plan, day_folder).play()
-    broken = Judge(records, judge_settings(plan)).broken_rules()
+    run_folder = folder / f"seed-{seed}"
+    records = SoakRun(plan, run_folder).play()
+    broken = RuleChecker(records, rule_checker_settings(plan)).broken_rules()
     if broken:
-        (day_folder / "plan.json").write_bytes(msgspec.json.encode(plan))
-        (day_folder / "records.json").write_bytes(msgspec.json.encode(records))
+        (run_folder / "plan.json").write_bytes(msgspec.json.encode(plan))
+        (run_folder / "records.json").write_bytes(msgspec.json.encode(records))
     else:
-        shutil.rmtree(day_folder)
+        shutil.rmtree(run_folder)
     accepted = sum(one.status in (200, 202) for one in records.submissions.values())
     line = (
         f"seed {seed}: {len(records.submissions)} requests, {accepted} accepted, {len(records.calls)} calls"
--- a/tests/emulator/fault_injection/test_fault_injection.py
+++ b/tests/emulator/fault_injection/test_fault_injection.py
@@ -38,7 +38,7 @@
 ]
 
 
-def test_each_faulty_call_reaches_a_sender_that_serves_on(world: World) -> None:
+def test_each_injected_fault_reaches_sender_that_keeps_serving(world: World) -> None:
     """One of each in one process: it starts, takes a message and delivers it all the same."""
     faults = [CallFault(call, error, skip=skip, count=1) for call, error, skip in EACH_FAULT]
     world.faults = ProcessFaults(tuple(faults))
@@ -51,7 +51,7 @@
     assert {"accept", "connect", "receive", "send", "write"} <= reached
 
 
-def test_the_wall_clock_of_a_process_steps(tmp_path: Path) -> None:
+def test_clock_step_shifts_wall_clock_of_process(tmp_path: Path) -> None:
     schedule = tmp_path / "faults"
     schedule.write_bytes(ProcessFaults(clock=(ClockStep(0.0, 3600.0),)).encode())
     code = (
@@ -67,7 +67,7 @@
     assert run.stdout == b"60\n"
 
 
-def test_a_schedule_counts_the_calls_within_its_time() -> None:
+def test_schedule_counts_only_calls_within_its_interval() -> None:
     fault = CallFault(FaultyCall.WRITE, "EIO", begin_s=1.0, end_s=2.0, skip=1, count=2)
     counter = FaultCounter(ProcessFaults((fault,)))
     at = [0.5, 1.0, 1.1, 1.2, 1.3, 2.0]
@@ -83,7 +83,7 @@
     assert counter.injected == {"write EIO": 2}
 
 
-def test_a_drawn_schedule_is_the_same_for_the_same_seed() -> None:
+def test_same_seed_draws_same_fault_schedule() -> None:
     drawn = [draw_faults(Random(seed), 10.0) for seed in (1, 1, 2)]
     assert drawn[0] == drawn[1] != drawn[2]
     assert ProcessFaults.decode(drawn[0].encode()) == drawn[0]
@@ -106,7 +106,7 @@
         (ProxyMode.RESET_AFTER_BYTE, b""),
     ],
 )
-def test_what_a_caller_meets_at_the_proxy(mode: ProxyMode, received: bytes | None) -> None:
+def test_proxy_mode_decides_what_caller_receives(mode: ProxyMode, received: bytes | None) -> None:
     """None: nothing comes."""
     target = StreamServer(("127.0.0.1", 0), answer)
     target.start()
@@ -129,21 +129,21 @@
     target.stop()
 
 
-def test_open_connections_are_forgotten() -> None:
+def test_proxy_resets_its_open_connections() -> None:
     target = StreamServer(("127.0.0.1", 0), lambda *_: gevent.sleep(9))
     target.start()
     proxy = FaultProxy(address_of(target))
     host, _, port = proxy.address.partition(":")
     caller = socket.create_connection((host, int(port)))
     until(lambda: proxy.accepted[ProxyMode.FORWARD])
-    proxy.forget()
+    proxy.reset_connections()
     with pytest.raises(ConnectionResetError):
         caller.recv(1)
     proxy.stop()
     target.stop()
 
 
-def test_a_dial_to_a_full_backlog_does_not_end() -> None:
+def test_connect_to_full_backlog_times_out() -> None:
     backlog = FullBacklog()
     caller = socket.socket()
     caller.settimeout(0.3)
--- a/tests/emulator/soak/test_day.py
+++ b/tests/emulator/soak/test_day.py
@@ -6,25 +6,25 @@
 
 import gevent
 
-from ashpath.emulator.soak.day import SoakDay, judge_settings
-from ashpath.emulator.soak.judge import Judge
+from ashpath.emulator.soak.day import SoakRun, rule_checker_settings
+from ashpath.emulator.soak.judge import RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
 
 SEEDS = (1, 2, 15, 23)
 
 
-def test_a_seed_draws_one_plan() -> None:
+def test_same_seed_draws_same_plan() -> None:
     assert draw_plan(7) == draw_plan(7) != draw_plan(8)
 
 
 def broken_rules(seed: int, folder: Path) -> list[str]:
     plan = draw_plan(seed)
-    records = SoakDay(plan, folder / str(seed)).play()
+    records = SoakRun(plan, folder / str(seed)).play()
     assert len(records.calls) > 50
-    return [str(broken) for broken in Judge(records, judge_settings(plan)).broken_rules()]
+    return [str(broken) for broken in RuleChecker(records, rule_checker_settings(plan)).broken_rules()]
 
 
-def test_no_day_breaks_a_rule(tmp_path: Path) -> None:
+def test_soak_runs_break_no_rule(tmp_path: Path) -> None:
     """Side by side: each is a few processes that mostly wait."""
     plays = {seed: gevent.spawn(broken_rules, seed, tmp_path) for seed in SEEDS}
     assert {seed: found for seed, play in plays.items() if (found := play.get())} == {}
--- a/tests/emulator/soak/test_judge.py
+++ b/tests/emulator/soak/test_judge.py
@@ -6,20 +6,22 @@
 
 import pytest
 
-from ashpath.emulator.soak.judge import Judge, JudgeSettings
+from ashpath.emulator.soak.judge import RuleChecker, RuleCheckerSettings
 from ashpath.emulator.soak.records import (
     Call,
-    DayRecords,
     Departure,
     Effect,
     Incarnation,
     NetworkFault,
     Outage,
     Reply,
+    SoakRecords,
     Submission,
 )
 
-SETTINGS = JudgeSettings(grace_s=0.25, window_s=5.0, overload_s=1.0, cold_rate=2.0, overload_multiple=2.0)
+SETTINGS = RuleCheckerSettings(
+    grace_s=0.25, window_s=5.0, overload_s=1.0, cold_rate=2.0, overload_multiple=2.0
+)
 
 
 def submission(
@@ -32,9 +34,9 @@
     return Call(message_id, 0, "e1", 1, at, reply, at + 0.05, wait_s)
 
 
-def good_day() -> DayRecords:
+def valid_records() -> SoakRecords:
     """One message of each kind, delivered; one given up and notified."""
-    records = DayRecords(ended_at=60.0, incarnations=[Incarnation(0, 0.0, 0.3)])
+    records = SoakRecords(ended_at=60.0, incarnations=[Incarnation(0, 0.0, 0.3)])
     for number, effect in enumerate(Effect):
         records.submissions[f"m{number}"] = submission(f"m{number}", effect)
         records.calls.append(call(f"m{number}", 1.1 + number))
@@ -44,121 +46,126 @@
     return records
 
 
-def add(records: DayRecords, *calls: Call, effect: Effect = Effect.REPEATABLE, key: str = "") -> None:
+def add(records: SoakRecords, *calls: Call, effect: Effect = Effect.REPEATABLE, key: str = "") -> None:
     for one in calls:
         at = one.begun_at - 0.1
         records.submissions.setdefault(one.message_id, submission(one.message_id, effect, key, at))
         records.calls.append(one)
 
 
-def never_ended(records: DayRecords) -> None:
+def never_ended(records: SoakRecords) -> None:
     del records.notices["given up"]
 
 
-def ended_late(records: DayRecords) -> None:
+def ended_late(records: SoakRecords) -> None:
     records.notices["given up"] = 3.4
 
 
-def closed_unanswered(records: DayRecords) -> None:
+def closed_unanswered(records: SoakRecords) -> None:
     records.submissions["given up"].closed_unanswered = True
 
 
-def run_twice(records: DayRecords) -> None:
+def run_twice(records: SoakRecords) -> None:
     add(records, call("x", 4.0, Reply.RESET), call("x", 5.0), effect=Effect.AT_MOST_ONCE)
 
 
-def repeated_behind_the_window(records: DayRecords) -> None:
+def repeated_after_deduplication_window(records: SoakRecords) -> None:
     add(records, call("x", 4.0, Reply.RESET), call("x", 9.5), effect=Effect.DEDUPLICATED)
 
 
-def two_at_once(records: DayRecords) -> None:
+def called_twice_at_once(records: SoakRecords) -> None:
     add(records, call("x", 4.0), call("x", 3.5))
     records.calls[-1].ended_at = 5.0
 
 
-def called_by_nobody(records: DayRecords) -> None:
+def called_without_submission(records: SoakRecords) -> None:
     records.calls.append(call("nobody's", 4.0))
 
 
-def called_behind_a_drain(records: DayRecords) -> None:
+def called_after_drain_grace(records: SoakRecords) -> None:
     records.departures.append(Departure(0, "e1", 4.0))
     add(records, call("x", 4.6))
 
 
-def pushed_over(records: DayRecords) -> None:
+def overloaded_after_outage(records: SoakRecords) -> None:
     records.outages.append(Outage(1, 2.0, 10.0))
     add(records, *(call(f"x{number}", 10.0 + number / 50) for number in range(14)))
 
 
-def out_of_order(records: DayRecords) -> None:
+def called_out_of_order(records: SoakRecords) -> None:
     add(records, call("first", 6.0), call("second", 7.0), effect=Effect.DEDUPLICATED, key="k")
     records.calls[-2].begun_at, records.calls[-2].ended_at = 8.0, 8.1
 
 
-def called_within_a_wait(records: DayRecords) -> None:
+def called_before_retry_after(records: SoakRecords) -> None:
     add(records, call("x", 4.0, Reply.OVERLOADED, wait_s=2.0), call("y", 5.0), call("x", 6.2))
 
 
-def ended_by_itself(records: DayRecords) -> None:
+def ended_by_itself(records: SoakRecords) -> None:
     records.crashes.append("sender 0 ended by itself with exit code 1")
 
 
-def never_ready(records: DayRecords) -> None:
+def never_ready(records: SoakRecords) -> None:
     records.incarnations.append(Incarnation(0, 20.0))
 
 
-BREAKS: dict[str, tuple[Callable[[DayRecords], None], ...]] = {
+BREAKS: dict[str, tuple[Callable[[SoakRecords], None], ...]] = {
     "lost": (never_ended, ended_late, closed_unanswered),
-    "doubled": (run_twice, repeated_behind_the_window, two_at_once, called_by_nobody),
-    "drain": (called_behind_a_drain,),
-    "returning": (pushed_over,),
-    "order": (out_of_order,),
-    "wait": (called_within_a_wait,),
+    "doubled": (
+        run_twice,
+        repeated_after_deduplication_window,
+        called_twice_at_once,
+        called_without_submission,
+    ),
+    "drain": (called_after_drain_grace,),
+    "returning": (overloaded_after_outage,),
+    "order": (called_out_of_order,),
+    "wait": (called_before_retry_after,),
     "crash": (ended_by_itself, never_ready),
 }
 
 
-def rules(records: DayRecords) -> set[str]:
-    return {broken.rule for broken in Judge(records, SETTINGS).broken_rules()}
+def rules(records: SoakRecords) -> set[str]:
+    return {broken.rule for broken in RuleChecker(records, SETTINGS).broken_rules()}
 
 
-def test_a_good_day_breaks_no_rule() -> None:
-    assert rules(good_day()) == set()
+def test_valid_records_break_no_rule() -> None:
+    assert rules(valid_records()) == set()
 
 
 @pytest.mark.parametrize(
     ("rule", "break_it"), [(rule, one) for rule, breaks in BREAKS.items() for one in breaks]
 )
-def test_each_broken_rule_is_found(rule: str, break_it: Callable[[DayRecords], None]) -> None:
-    records = good_day()
+def test_each_broken_rule_is_reported(rule: str, break_it: Callable[[SoakRecords], None]) -> None:
+    records = valid_records()
     break_it(records)
     assert rules(records) == {rule}
 
 
-def allowed_over_a_restart(records: DayRecords) -> None:
+def late_outcome_during_restart(records: SoakRecords) -> None:
     ended_late(records)
     records.incarnations = [Incarnation(0, 0.0, 0.3, 2.5, 2.5), Incarnation(0, 3.0, 3.2)]
 
 
-def allowed_while_nobody_can_be_notified(records: DayRecords) -> None:
+def late_outcome_during_network_fault(records: SoakRecords) -> None:
     ended_late(records)
     records.network_faults.append(NetworkFault(0, 2.8, 3.3))
 
 
-def allowed_within_the_window(records: DayRecords) -> None:
+def repeated_within_deduplication_window(records: SoakRecords) -> None:
     add(records, call("x", 4.0, Reply.RESET), call("x", 8.5), effect=Effect.DEDUPLICATED)
 
 
-def allowed_behind_a_refusal(records: DayRecords) -> None:
+def repeated_after_refusal(records: SoakRecords) -> None:
     add(records, call("x", 4.0, Reply.REFUSED), call("x", 5.0), effect=Effect.AT_MOST_ONCE)
 
 
-def allowed_within_the_grace(records: DayRecords) -> None:
+def called_within_drain_grace(records: SoakRecords) -> None:
     records.departures.append(Departure(0, "e1", 4.0))
     add(records, call("x", 4.2))
 
 
-def allowed_as_a_connection_crosses_the_end(records: DayRecords) -> None:
+def request_unanswered_during_shutdown(records: SoakRecords) -> None:
     closed_unanswered(records)
     records.incarnations = [Incarnation(0, 0.0, 0.3, 1.2, 1.2), Incarnation(0, 1.5, 1.7)]
 
@@ -166,15 +173,15 @@
 @pytest.mark.parametrize(
     "allowed",
     [
-        allowed_over_a_restart,
-        allowed_while_nobody_can_be_notified,
-        allowed_within_the_window,
-        allowed_behind_a_refusal,
-        allowed_within_the_grace,
-        allowed_as_a_connection_crosses_the_end,
+        late_outcome_during_restart,
+        late_outcome_during_network_fault,
+        repeated_within_deduplication_window,
+        repeated_after_refusal,
+        called_within_drain_grace,
+        request_unanswered_during_shutdown,
     ],
 )
-def test_what_the_rules_allow_is_not_found(allowed: Callable[[DayRecords], None]) -> None:
-    records = good_day()
+def test_permitted_behaviour_is_not_reported(allowed: Callable[[SoakRecords], None]) -> None:
+    records = valid_records()
     allowed(records)
     assert rules(records) == set()
--- a/tests/server/discovery/test_endpoint_list_lease.py
+++ b/tests/server/discovery/test_endpoint_list_lease.py
@@ -60,10 +60,10 @@
     drain.start()
     drain.watched()
     agent = drain.agents[0]
-    agent.standing = SILENT
+    agent.default_reply = SILENT
     agent.silence_watches()
     gevent.sleep(OUTAGE_S)
-    agent.standing = AgentReply.ANSWER
+    agent.default_reply = AgentReply.ANSWER
     drain.drain()
     return monotonic() + ONE_SECOND_GRACE_S - GRACE_S
 
