--- a/ashpath/emulator/loopback/client_process.py
+++ b/ashpath/emulator/loopback/client_process.py
@@ -36,8 +36,8 @@
 DESCRIPTORS = 8192
 REQUEST_TIMEOUT_S = 600.0
 RESPONSE_TIMEOUT_S = 2.0  # for an answer
-RETRY_S = 0.1  # a client whose sender does not answer tries another after this
-LEAST_TIME_LEFT = 1000  # microseconds before its deadline, for another submission
+RETRY_INTERVAL_S = 0.1  # a client whose sender does not answer tries another after this
+MIN_TIME_LEFT = 1000  # microseconds before its deadline, for another submission
 FOREVER_S = 1e9
 SUBMIT = b"POST %s HTTP/1.1" % wire_names.SUBMIT_PATH
 ACCEPTED = (200, 202)
@@ -91,7 +91,7 @@
         """Submits all requests at their times, and goes on until the process is ended."""
         for request in self._job.requests:
             gevent.sleep(max(0.0, (request.at - self._clock.now()) / SECOND))
-            self._write(request.at, ClientEventKind.REQUESTED, request.id)
+            self._write_event(request.at, ClientEventKind.REQUESTED, request.id)
             gevent.spawn(self._submit, Submission(request, 0))
         gevent.sleep(FOREVER_S)
 
@@ -102,36 +102,38 @@
         self._open[message_id] = submission
         while True:
             left = request.at + request.deadline - self._clock.now()
-            if left <= LEAST_TIME_LEFT:
+            if left <= MIN_TIME_LEFT:
                 self._open.pop(message_id, None)
-                self._write(self._clock.now(), ClientEventKind.GIVEN_UP, request.id)
+                self._write_event(self._clock.now(), ClientEventKind.GIVEN_UP, request.id)
                 return
             sender = self._random.randrange(len(self._senders))
             headers = submission.headers(left)
             sent_at = self._clock.now()
             try:
-                answer = self._senders[sender].request(SUBMIT, headers, b"%d " % request.traffic_class)
+                response = self._senders[sender].request(SUBMIT, headers, b"%d " % request.traffic_class)
             except NotSentError:
-                gevent.sleep(RETRY_S)
+                gevent.sleep(RETRY_INTERVAL_S)
             except UnansweredError:
-                self._write(sent_at, ClientEventKind.UNANSWERED, message_id, sender)
-                gevent.sleep(RETRY_S)
+                self._write_event(sent_at, ClientEventKind.UNANSWERED, message_id, sender)
+                gevent.sleep(RETRY_INTERVAL_S)
             else:
-                self._write(sent_at, ClientEventKind.ANSWERED, message_id, sender)
-                self._answered(message_id, answer, sender)
+                self._write_event(sent_at, ClientEventKind.ANSWERED, message_id, sender)
+                self._handle_response(message_id, response, sender)
                 return
 
-    def _answered(self, message_id: str, answer: HttpResponse, sender: int) -> None:
-        if answer.status not in ACCEPTED:
-            outcome = FinalOutcome.REJECTED if answer.status in REJECTED else FinalOutcome.FAILED
-            retry_after_s = float(answer.headers.get(wire_names.RETRY_AFTER_HEADER, b"0"))
-            self._ended(message_id, outcome, retry_after_s, sender)
+    def _handle_response(self, message_id: str, response: HttpResponse, sender: int) -> None:
+        if response.status not in ACCEPTED:
+            outcome = FinalOutcome.REJECTED if response.status in REJECTED else FinalOutcome.FAILED
+            retry_after_s = float(response.headers.get(wire_names.RETRY_AFTER_HEADER, b"0"))
+            self._handle_outcome(message_id, outcome, retry_after_s, sender)
 
     def notified(self, notice: Notice) -> None:
         """A sender could not deliver what it had accepted."""
-        self._ended(notice.message_id, notice.outcome, notice.retry_after_s)
+        self._handle_outcome(notice.message_id, notice.outcome, notice.retry_after_s)
 
-    def _ended(self, message_id: str, outcome: FinalOutcome, retry_after_s: float, sender: int = -1) -> None:
+    def _handle_outcome(
+        self, message_id: str, outcome: FinalOutcome, retry_after_s: float, sender: int = -1
+    ) -> None:
         """Rejected or failed; rejected, the request may be submitted again."""
         submission = self._open.pop(message_id, None)
         if submission is None:
@@ -140,19 +142,19 @@
         request = submission.request
         failed = outcome is FinalOutcome.FAILED
         kind = ClientEventKind.FAILED if failed else ClientEventKind.REJECTED
-        self._write(self._clock.now(), kind, message_id, sender)
+        self._write_event(self._clock.now(), kind, message_id, sender)
         backoff_s = job.backoff * 2**submission.resubmissions / SECOND
         if retry_after_s and self._random.random() < job.retry_after_share:
             backoff_s = retry_after_s
         backoff_s *= self._random.uniform(0.8, 1.2)
         too_late = self._clock.now() + backoff_s * SECOND > request.at + request.deadline
-        if failed or submission.resubmissions >= job.most_resubmissions or too_late:
-            self._write(self._clock.now(), ClientEventKind.GIVEN_UP, request.id)
+        if failed or submission.resubmissions >= job.max_resubmissions or too_late:
+            self._write_event(self._clock.now(), ClientEventKind.GIVEN_UP, request.id)
             return
         gevent.spawn_later(backoff_s, self._submit, Submission(request, submission.resubmissions + 1))
 
     @staticmethod
-    def _write(at: int, kind: ClientEventKind, message_id: str, sender: int = -1) -> None:
+    def _write_event(at: int, kind: ClientEventKind, message_id: str, sender: int = -1) -> None:
         event = ClientEvent(at, kind, message_id, sender)
         os.write(sys.stdout.fileno(), msgspec.json.encode(event) + b"\n")
 
--- a/ashpath/emulator/loopback/clients_job.py
+++ b/ashpath/emulator/loopback/clients_job.py
@@ -39,7 +39,7 @@
     senders: list[tuple[str, int]]
     notice_port: int = field(name="notices")
     requests: list[PlannedRequest] = field(name="rows")
-    most_resubmissions: int = field(name="retries")
+    max_resubmissions: int = field(name="retries")
     backoff: int
     """Microseconds before the first resubmission, where there is no Retry-After; doubled each time."""
     retry_after_share: float = field(name="heeds")
--- a/ashpath/emulator/loopback/clients_runner.py
+++ b/ashpath/emulator/loopback/clients_runner.py
@@ -17,7 +17,7 @@
 from ashpath.emulator.units import SECOND
 
 QUIET_SPAN_STEP = SECOND // 10
-LAST_EVENTS_S = 3.0
+FINAL_EVENTS_TIMEOUT_S = 3.0
 
 
 def plan_requests(
@@ -79,7 +79,7 @@
     def finish(self) -> None:
         """Ends the process, and reads the last of its events."""
         self._process.terminate()
-        self._reader.join(LAST_EVENTS_S)
+        self._reader.join(FINAL_EVENTS_TIMEOUT_S)
 
     def kill(self) -> None:
         """Ends the process if it still runs."""
--- a/ashpath/emulator/loopback/discovery_server.py
+++ b/ashpath/emulator/loopback/discovery_server.py
@@ -19,7 +19,7 @@
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.limits import ServerLimits
 
-WATCH_S = 2.0
+WATCH_TIMEOUT_S = 2.0
 OK = b"HTTP/1.1 200 OK"
 
 
@@ -73,7 +73,7 @@
 
     def _answer(self, connection: HttpConnection, url: bytes) -> None:
         if self._is_current(url):
-            self._changed.wait(WATCH_S)
+            self._changed.wait(WATCH_TIMEOUT_S)
         unchanged = self._is_current(url)
         members = [] if unchanged else [self._member(record) for record in self._records]
         body = {"revision": self._revision, "complete": not unchanged, "members": members}
--- a/ashpath/emulator/loopback/faults.py
+++ b/ashpath/emulator/loopback/faults.py
@@ -90,16 +90,16 @@
             for endpoint in destination.endpoints:
                 self._servers[endpoint].reset_connections()
         if scripted.duration:
-            lasts_s = int(scripted.duration) / SECOND
-            gevent.spawn_later(lasts_s, self._remove_fault, number, fault, scripted.amount)
+            duration_s = int(scripted.duration) / SECOND
+            gevent.spawn_later(duration_s, self._remove_fault, number, fault, scripted.amount)
 
     def _remove_fault(self, number: int, fault: Fault, amount: float) -> None:
         self._topology.destinations[number].remove_fault(fault, amount, self._clock.now())
 
-    def _replace(self, number: int, most: int) -> None:
+    def _replace(self, number: int, max_count: int) -> None:
         """An endpoint's connections are reset, and its successor has its address under another id."""
         destination = self._topology.destinations[number]
-        for name in list(destination.endpoints)[: most or None]:
+        for name in list(destination.endpoints)[: max_count or None]:
             old = self._records.pop(name)
             new_name = successor_name(name)
             destination.remove_endpoint(name)
--- a/ashpath/emulator/loopback/observations.py
+++ b/ashpath/emulator/loopback/observations.py
@@ -85,14 +85,15 @@
             case CallEnded(outcome=AttemptOutcome.DELIVERED, message_id=id_):
                 self.open_requests.discard(request_id(id_))
 
-    def in_order_of_time(self) -> list[Observation]:
+    def sorted_by_time(self) -> list[Observation]:
         """Those of one moment in the order they were seen."""
-        return sorted(self._observations, key=lambda one: one.at)
+        return sorted(self._observations, key=lambda observation: observation.at)
 
-    def move_to_beginning(self) -> None:
+    def move_to_run_start(self) -> None:
         """The run begins now: what was seen before is of its first moment."""
         self._observations = [
-            one if isinstance(one, ClientEvent) else replace(one, at=0) for one in self._observations
+            observation if isinstance(observation, ClientEvent) else replace(observation, at=0)
+            for observation in self._observations
         ]
 
     def call_arrived(self, at: int, endpoint: str, message_id: str) -> None:
--- a/ashpath/emulator/loopback/replay.py
+++ b/ashpath/emulator/loopback/replay.py
@@ -80,7 +80,7 @@
         """Reports them, and ends the run; `observations` are in order of time."""
         for observation in observations:
             self._report(observation)
-        last = max((one.at for one in observations), default=0)
+        last = max((observation.at for observation in observations), default=0)
         self._checker.run_ended(last + CHECK_AFTER_END)
         check_effects(self._checker, now, self._topology.destinations, self._traffic_classes)
         self._scoreboard.close(self._checker)
--- a/ashpath/emulator/loopback/run.py
+++ b/ashpath/emulator/loopback/run.py
@@ -34,9 +34,9 @@
 
 DESCRIPTORS = 8192
 REQUEST_TIMEOUT_S = 600.0
-MOST_AFTER_DEADLINE = 5 * SECOND  # a run goes on so long past the last deadline at most
-WATCHES_OPEN_S = 0.3
-LAST_REPORTS_S = 0.3
+MAX_TIME_AFTER_DEADLINE = 5 * SECOND  # a run goes on so long past the last deadline at most
+WATCH_START_S = 0.3
+FINAL_REPORTS_S = 0.3
 PROGRESS_POLL_S = 0.1
 
 
@@ -80,12 +80,12 @@
         latency = int(self._scenario.network.latency)
         jitter = self._scenario.network.jitter
 
-        def one_way() -> float:
+        def one_way_delay() -> float:
             return latency * random.lognormvariate(0, jitter) if jitter else latency
 
         destination = self._topology.destinations[record.destination]
         return DestinationServer(
-            destination, record.endpoint_id, self._limits, self._clock, self._log, one_way
+            destination, record.endpoint_id, self._limits, self._clock, self._log, one_way_delay
         )
 
     def _agent(self, sender: int) -> DiscoveryServer:
@@ -96,12 +96,12 @@
     def run(self, progress: Callable[[float], None] | None = None) -> None:
         """Raises FleetStartError."""
         arrivals = Arrivals(self._scenario, self._topology.shares, self._seed)
-        deadlines = [one.deadline for one in self._settings.traffic_classes]
+        deadlines = [traffic_class.deadline for traffic_class in self._settings.traffic_classes]
         try:
             self._senders.start_all()
-            gevent.sleep(WATCHES_OPEN_S)
+            gevent.sleep(WATCH_START_S)
             self._clock.restart()
-            self._log.move_to_beginning()
+            self._log.move_to_run_start()
             planned, requests = plan_requests(self._scenario, arrivals, deadlines)
             self._log.open_requests.update(requests)
             clients = self._clients = ClientsRunner(self._folder, self._clients_job(planned), self._log)
@@ -112,7 +112,7 @@
             self._settings.traffic_classes, self._settings.value_halves, self._scenario.spans
         )
         replay = Replay(self._settings, value, self._topology, requests, self._scoreboard, self.checker)
-        replay.run(self._log.in_order_of_time(), self._clock.now())
+        replay.run(self._log.sorted_by_time(), self._clock.now())
 
     def _clients_job(self, planned: list[PlannedRequest]) -> ClientsJob:
         clients = self._scenario.clients
@@ -128,7 +128,11 @@
         )
 
     def _play(
-        self, clients: ClientsRunner, end: int, longest: int, progress: Callable[[float], None] | None
+        self,
+        clients: ClientsRunner,
+        end: int,
+        longest_deadline: int,
+        progress: Callable[[float], None] | None,
     ) -> None:
         faults = LoopbackFaults(
             self._scenario,
@@ -144,14 +148,14 @@
             self._scoreboard,
         )
         faults.schedule_all()
-        last = end + longest + MOST_AFTER_DEADLINE
+        last = end + longest_deadline + MAX_TIME_AFTER_DEADLINE
         while self._clock.now() < last and clients.is_running():
             if self._clock.now() >= end and not self._log.open_requests:
                 break
             gevent.sleep(PROGRESS_POLL_S)
             if progress is not None:
                 progress(min(1.0, self._clock.now() / end))
-        gevent.sleep(LAST_REPORTS_S)
+        gevent.sleep(FINAL_REPORTS_S)
         clients.finish()
 
     def _stop(self) -> None:
--- a/tests/emulator/loopback/test_loopback_run.py
+++ b/tests/emulator/loopback/test_loopback_run.py
@@ -20,8 +20,10 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "changes", "near"), SCENARIOS)
-def test_short_scenario(tmp_path: Path, name: str, changes: dict[str, str], near: float) -> None:
+@pytest.mark.parametrize(("name", "changes", "tolerance"), SCENARIOS)
+def test_short_loopback_run_agrees_with_simulation(
+    tmp_path: Path, name: str, changes: dict[str, str], tolerance: float
+) -> None:
     text = scenario_path(name).read_text().replace('lasts = "50s"\nrate = 80', 'lasts = "8s"\nrate = 60')
     for old, new in changes.items():
         assert old in text
@@ -33,12 +35,15 @@
     assert not simulated.result["rules"], simulated.broken
     assert ours.result["handed_in"] == simulated.result["handed_in"]
     assert sum(ours.result["ends"].values()) == ours.result["handed_in"]
-    assert abs(ours.result["g"] - simulated.result["g"]) <= near, (ours.result["g"], simulated.result["g"])
+    assert abs(ours.result["g"] - simulated.result["g"]) <= tolerance, (
+        ours.result["g"],
+        simulated.result["g"],
+    )
     written = read_configuration(tmp_path / "sender-0" / "sender.toml")
     assert file_document(written)["tracks"]["check-result"]["window"] == "5s"
 
 
-def test_what_sockets_cannot_play(tmp_path: Path) -> None:
+def test_loopback_run_rejects_simulation_only_faults(tmp_path: Path) -> None:
     for name, fault in (("split", "split"), ("pile", "held > 150"), ("clocks", "clock")):
         with pytest.raises(UnsupportedFaultError, match=fault):
             run_on_loopback(scenario_path(name), 1, tmp_path)
--- a/tests/emulator/loopback/test_replay.py
+++ b/tests/emulator/loopback/test_replay.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_kill_between_write_and_answer(case: str) -> None:
+def test_replay_counts_lost_messages_around_kill(case: str) -> None:
     id_, rows, lost = case.split(": ")
     path = scenario_path("kills")
     scenario = read_scenario(path)
@@ -58,5 +58,5 @@
     value = DeliveryValue(settings.traffic_classes, settings.value_halves, scenario.spans)
     checker = checker_for_sockets(settings, "")
     scoreboard = Scoreboard(list(scenario.traffic_classes))
-    Replay(settings, value, topology, {id_: request}, scoreboard, checker).run(log.in_order_of_time(), 0)
+    Replay(settings, value, topology, {id_: request}, scoreboard, checker).run(log.sorted_by_time(), 0)
     assert checker.counts["lost"] == int(lost), checker.broken
