--- a/ashpath/emulator/soak/__init__.py
+++ b/ashpath/emulator/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A short day of real senders on loopback under faults of all kinds at once, and its judge.
+"""Soak runs: real senders on loopback for a few seconds under faults of all kinds at once.
 
-`plan` draws a day from a seed, `day` plays it with sender processes, `endpoints`, `clients` and the agents of
-`fault_injection`, `records` is what all of them saw, and `judge` names each broken rule from the records
-alone. `benchmarks.soak` and the tests call it; a sender never imports it.
+`plan` draws a run from a seed. `day` executes the run with sender processes, `endpoints`, `clients` and the
+discovery agents of `fault_injection`. `records` holds what all of them observed, and `judge` reports each
+broken rule from the records alone. `benchmarks.soak` and the tests use it; a sender never does.
 """
--- a/ashpath/emulator/soak/clients.py
+++ b/ashpath/emulator/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a day: requests at a steady rate over kept connections, used until the process ends."""
+"""Clients of a run: requests at a constant mean rate over persistent connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SoakClients:
-    """The clients of one sender, from `run` on until their greenlet is killed."""
+    """The clients of one sender. They submit requests from `run` on until their greenlet is killed."""
 
     def __init__(
         self,
@@ -45,13 +45,13 @@
         self._number = 0
 
     def run(self) -> None:
-        """Never returns."""
+        """Submits requests as a Poisson process. Never returns."""
         while True:
             gevent.sleep(self._random.expovariate(self.rate))
             gevent.spawn(self._submit, self._draw_submission())
 
     def connect_idle(self, count: int) -> None:
-        """So many clients connect and ask for nothing."""
+        """Opens up to `count` connections that send no request."""
         for _ in range(count):
             try:
                 self._idle_clients.append(open_connection(self.address, self._limits))
--- a/ashpath/emulator/soak/day.py
+++ b/ashpath/emulator/soak/day.py
@@ -1,4 +1,4 @@
-"""Plays one drawn day with real processes on loopback, and returns what everybody saw of it."""
+"""Executes the plan of one run with real processes on loopback, and returns the records of the run."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
 from ashpath.emulator.stand_ins import free_port, stand_in_limits
 
 NETWORK_CALLS = (FaultyCall.SOCKET, FaultyCall.CONNECT, FaultyCall.RECEIVE)
-AGENTS_PER_SENDER = 2  # of each sender: SIGHUP moves it to the second and back
+AGENTS_PER_SENDER = 2  # SIGHUP switches the sender between its agents
 RELOAD_INTERVAL_S = 0.3
-SILENT_WATCH_TIMEOUT_S = 6.0
-RELOAD_TIMEOUT_S = 4.0
+SILENT_WATCH_TIMEOUT_S = 6.0  # by then a sender has an endpoint list that its open watch did not deliver
+RELOAD_TIMEOUT_S = 4.0  # by then a sender has the list of the agent that SIGHUP switched it to
 DEDUPLICATION_WINDOW_MS = 5000.0
 DRAIN_GRACE_MS = 250.0
 COLD_SHARE = 0.3
 OVERLOAD_MULTIPLE = 3.0
 OVERLOAD_MS = 1000.0
-FINAL_WAIT_S = 9.0  # behind the last request: the longest deadline, and a restart
-START_TIMEOUT_S = 15.0  # for all senders to be ready
+FINAL_WAIT_S = 9.0  # after the last request: covers the longest deadline and a restart
+START_TIMEOUT_S = 15.0  # until all senders are ready
 
 
 def soak_settings() -> JsonObject:
-    """Settings of the day, as the platform writes them."""
+    """Returns the settings of the run in the form that the platform writes."""
     classes = [
         {
             "name": effect.value,
@@ -86,7 +86,7 @@
 
 
 def rule_checker_settings(plan: SoakPlan) -> RuleCheckerSettings:
-    """What the settings come to for the judge."""
+    """Returns the rule checker's settings, which follow from the settings of the run."""
     capacity = plan.rate * SENDERS / DESTINATIONS
     return RuleCheckerSettings(
         grace_s=DRAIN_GRACE_MS / 1000,
@@ -98,7 +98,7 @@
 
 
 class SoakRun:
-    """One day in one folder, which has the senders' logs and state afterwards."""
+    """One run. `folder` receives the logs and the state directories of the senders."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan = plan
@@ -134,14 +134,14 @@
         self._greenlets: list[Greenlet[..., None]] = []
 
     def members(self, sender: int) -> list[JsonObject]:
-        """The list as it stands, with the addresses of one sender."""
+        """Returns the current endpoint list, with the addresses that the sender uses."""
         return [
             endpoint.member(sender, "draining" if endpoint.endpoint_id in self.draining else "up")
             for endpoint in self.endpoints
         ]
 
     def play(self) -> SoakRecords:
-        """Returns what was seen, once all that was accepted is due."""
+        """Executes the run until every accepted message has passed its deadline, and returns the records."""
         try:
             for sender in self.senders:
                 sender.start()
@@ -184,7 +184,7 @@
         sender.start()
 
     def _drain(self, event: DrainEvent) -> None:
-        """An endpoint drains at all agents, whose open watches fall silent just then."""
+        """All agents report an endpoint as draining, and stop answering the watches that are open."""
         endpoint = next(endpoint for endpoint in self.endpoints if endpoint.destination == event.destination)
         self.draining.add(endpoint.endpoint_id)
         for sender in self.senders:
@@ -243,7 +243,7 @@
         return records
 
     def stop(self) -> None:
-        """Ends all that runs."""
+        """Kills the senders and their agents, clients and endpoints."""
         for greenlet in self._greenlets:
             greenlet.kill(block=False)
         for sender in self.senders:
--- a/ashpath/emulator/soak/endpoints.py
+++ b/ashpath/emulator/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a day: one server for each sender and endpoint, so that every call tells who made it."""
+"""Endpoints of a run: one server per sender and endpoint, so that each call identifies its sender."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 RETRY_AFTER_S = 0.6
 HANG_S = 30.0
-LOST_RESPONSE_S = 0.2  # a connection that ends so soon behind an answer has lost it
+LOST_RESPONSE_S = 0.2  # a response counts as lost if its connection ends within this time
 PROCESSING_TIME_RANGE_S = (0.002, 0.06)
-FAULT_SHARE = 0.06  # of the calls of a destination that is up
+FAULT_SHARE = 0.06  # share of the calls to a destination that is up
 FAULT_REPLIES = (Reply.OVERLOADED, Reply.REFUSED, Reply.RESET, Reply.HUNG)
 STATUS_LINES = {
     Reply.DELIVERED: b"HTTP/1.1 200 OK",
@@ -34,7 +34,7 @@
 
 
 class SoakEndpoint:
-    """One endpoint, as each of the senders reaches it: through a proxy of its own."""
+    """One endpoint, which each sender reaches through a separate proxy."""
 
     def __init__(
         self,
@@ -48,9 +48,8 @@
         self.endpoint_id = endpoint_id
         self.destination = destination
         self.down = False
-        self.sends_retry_after = (
-            True  # not while answers may be lost on their way: who did not hear one owes nothing
-        )
+        # False while responses may be lost in transit: the rules don't bind a sender to a lost Retry-After.
+        self.sends_retry_after = True
         self._records = records
         self._random = random
         self._limits = limits
@@ -63,7 +62,7 @@
         return server
 
     def member(self, sender: int, phase: str = "up") -> JsonObject:
-        """Its row in the list of one sender."""
+        """Returns the endpoint's row in the endpoint list of one sender."""
         return {
             "id": self.endpoint_id,
             "cell": self.destination,
@@ -76,7 +75,7 @@
         }
 
     def stop(self) -> None:
-        """Closes all of it."""
+        """Stops the proxies and the servers."""
         for proxy in self.proxies:
             proxy.stop()
         for server in self._servers:
@@ -84,7 +83,7 @@
 
     def _serve(self, sock: socket.socket, sender: int) -> None:
         connection = HttpConnection(sock, self._limits)
-        calls: list[Call] = []  # the last one of the connection
+        calls: list[Call] = []  # at most one: the last call on the connection
         try:
             while self._respond(connection, sender, calls):
                 pass
@@ -93,10 +92,10 @@
         finally:
             connection.close()
             if calls and monotonic() - calls[-1].ended_at < LOST_RESPONSE_S:
-                calls[-1].retry_after_s = 0.0  # the sender ended it in place of reading the answer
+                calls[-1].retry_after_s = 0.0  # the sender closed the connection without reading the response
 
     def _respond(self, connection: HttpConnection, sender: int, calls: list[Call]) -> bool:
-        """Whether the connection goes on."""
+        """Serves one request, and returns whether the connection stays open."""
         request = connection.read_request()
         message_id = request.headers[wire_names.TRACE_ID_HEADER].decode()
         call = Call(message_id, sender, self.endpoint_id, self.destination, monotonic())
@@ -119,7 +118,7 @@
     def _send_reply(self, connection: HttpConnection, call: Call) -> bool:
         if call.reply is Reply.HUNG:
             with gevent.Timeout(HANG_S, False):  # type: ignore[arg-type]  # False: the block just ends
-                connection.receive()  # until the sender gives up
+                connection.receive()  # returns when the sender gives up
             return False
         if call.reply is Reply.RESET:
             reset_connection(connection.sock)
--- a/ashpath/emulator/soak/judge.py
+++ b/ashpath/emulator/soak/judge.py
@@ -1,16 +1,16 @@
-"""Names each rule that a day broke, from its records alone, with the slack of the rules' pages.
+"""Reports each rule that a run broke, from its records alone, with the tolerances of the documented rules.
 
 | rule | broken by |
 | --- | --- |
-| lost | an accepted message without its end 0.3 s after its deadline; a request without any answer |
-| doubled | a call of a message that may have run, and may not run again, or not so late; two calls at once |
-| drain | a call to an endpoint later than the grace after its departure counts as received |
-| returning | more calls at a destination just back than its budget |
-| order | a call for a key while an earlier message of that key, accepted before, has no end |
-| wait | a call at a destination before the Retry-After that the sender received there is over |
-| crash | a process that ended by itself, or was not ready in time |
-
-Nothing is overdue from the end of an incarnation until 1.5 s after the next one is ready.
+| lost | an accepted message without a final outcome 0.3 s after its deadline; a request without a response |
+| doubled | a call of a message that may have run already, against its class or window; two concurrent calls |
+| drain | a call to an endpoint after the drain grace, which starts when its departure counts as received |
+| returning | more calls to a recovering destination than its budget |
+| order | a call for a key while a message of that key that was accepted earlier has no final outcome |
+| wait | a call to a destination before the Retry-After that the sender received from it has passed |
+| crash | a process that ended unexpectedly, or was not ready in time |
+
+No message is overdue from the end of an incarnation until 1.5 s after the next incarnation is ready.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
 RESTART_SLACK_S = 1.5
 NOTICE_RETRY_S = 0.4
 READY_TIMEOUT_S = 10.0
-LATE_DRAIN_SLACK_S = 0.2  # a sender may be held up between its clock and the write, and lines take a moment
+LATE_DRAIN_SLACK_S = 0.2  # covers delays between the sender's clock reading, its write and the network
 RETRY_AFTER_SLACK_S = 0.15
-NEW_CONNECTION_ALLOWED_S = 0.3  # before SIGTERM's effect is known, a crossing is nobody's fault
-SHUTDOWN_MARGIN_S = 0.5  # around the end of an incarnation, connections are reset
-SMALL_BUDGET_CALLS = 30
+NEW_CONNECTION_ALLOWED_S = 0.3  # a connection that crosses SIGTERM within this time breaks no rule
+SHUTDOWN_MARGIN_S = 0.5  # connections may be reset within this time before an incarnation ends
+SMALL_BUDGET_CALLS = 30  # a smaller budget gets a wider statistical tolerance
 
 
 class RuleCheckerSettings(Struct, frozen=True):
-    """Of the day's settings, in seconds and calls a second."""
+    """The settings of the run that the rules depend on, in seconds and calls per second."""
 
     grace_s: float
     window_s: float
     overload_s: float
     cold_rate: float
-    """What a destination takes just after an outage."""
+    """The call rate that a destination sustains directly after an outage."""
     overload_multiple: float
 
 
 class BrokenRule(Struct, frozen=True):
-    """One finding, in one line."""
+    """One violation of a rule, described in one line."""
 
     rule: str
     description: str
@@ -57,7 +57,7 @@
 
 
 class RuleChecker:
-    """Judges one day."""
+    """Checks the records of one run."""
 
     def __init__(self, records: SoakRecords, settings: RuleCheckerSettings) -> None:
         self.records = records
@@ -67,7 +67,7 @@
             self.calls_by_message[call.message_id].append(call)
 
     def broken_rules(self) -> list[BrokenRule]:
-        """All of them; none where the day was good."""
+        """Returns all violations."""
         checks = (
             self.crashes,
             self.lost_messages,
@@ -81,7 +81,7 @@
         return [broken for check in checks for broken in check()]
 
     def crashes(self) -> Iterator[BrokenRule]:
-        """Processes that ended by themselves or came up late."""
+        """Yields processes that ended unexpectedly or were not ready in time."""
         for crash in self.records.crashes:
             yield BrokenRule("crash", crash)
         for incarnation in self.records.incarnations:
@@ -90,7 +90,7 @@
                 yield BrokenRule("crash", f"sender {incarnation.sender} not ready in {READY_TIMEOUT_S:.0f} s")
 
     def lost_messages(self) -> Iterator[BrokenRule]:
-        """Accepted, and without an end when one was due."""
+        """Yields accepted messages without a final outcome at the due time."""
         for submission in self.records.submissions.values():
             if submission.status not in (200, 202):
                 continue
@@ -99,26 +99,26 @@
                 continue
             ended = self.outcome_time(submission)
             if ended is None or ended > due:
-                when = "never" if ended is None else f"{ended - due:.2f} s late"
+                when = "missing" if ended is None else f"{ended - due:.2f} s late"
                 yield BrokenRule(
-                    "lost", f"{submission.message_id} at sender {submission.sender}: its end came {when}"
+                    "lost", f"{submission.message_id} at sender {submission.sender}: final outcome {when}"
                 )
 
     def due_at(self, submission: Submission) -> float:
-        """When its end is overdue."""
+        """Returns the latest time at which the message must have a final outcome."""
         due = submission.deadline_at + END_SLACK_S
         for incarnation, following in self.incarnations(submission.sender):
             if incarnation.end_began_at <= due:
                 ready_at = following.ready_at if following is not None else 0.0
                 due = max(due, (ready_at or 1e18) + RESTART_SLACK_S + END_SLACK_S)
         for fault in sorted(self.records.network_faults, key=lambda fault: fault.began_at):
-            # Who cannot dial cannot notify: the next try follows the end of the fault.
+            # A sender that cannot connect cannot notify: its next attempt follows the end of the fault.
             if fault.sender == submission.sender and fault.began_at <= due <= fault.ended_at + NOTICE_RETRY_S:
                 due = fault.ended_at + NOTICE_RETRY_S
         return due
 
     def incarnations(self, sender: int) -> Iterator[tuple[Incarnation, Incarnation | None]]:
-        """Each incarnation of a sender, and the one that followed it."""
+        """Yields each incarnation of a sender with the next one, or None for the last."""
         incarnations = [
             incarnation for incarnation in self.records.incarnations if incarnation.sender == sender
         ]
@@ -126,7 +126,7 @@
             yield incarnation, incarnations[number + 1] if number + 1 < len(incarnations) else None
 
     def outcome_time(self, submission: Submission) -> float | None:
-        """When it was delivered, or its end notified."""
+        """Returns when the message was delivered or its outcome was notified; None if neither happened."""
         ends = [
             call.ended_at
             for call in self.calls_by_message[submission.message_id]
@@ -137,17 +137,17 @@
         return min(ends, default=None)
 
     def unanswered_requests(self) -> Iterator[BrokenRule]:
-        """Read on a new connection, and ended without an answer though the process lived."""
+        """Yields requests on new connections that a running process closed without a response."""
         for submission in self.records.submissions.values():
             if not (submission.closed_unanswered and submission.written and submission.connection_is_new):
                 continue
             if not self.overlaps_shutdown(submission):
                 yield BrokenRule(
-                    "lost", f"request {submission.message_id} at sender {submission.sender}: no answer"
+                    "lost", f"request {submission.message_id} at sender {submission.sender}: no response"
                 )
 
     def overlaps_shutdown(self, submission: Submission) -> bool:
-        """Whether a process ended, or was not there, as the request was out."""
+        """Whether the sender's process ended, or was not ready, while the request was in flight."""
         return not any(
             incarnation.sender == submission.sender
             and incarnation.ready_at
@@ -157,16 +157,16 @@
         )
 
     def doubled_calls(self) -> Iterator[BrokenRule]:
-        """What may not run again, and did."""
+        """Yields repeated calls that the traffic class forbids, and concurrent calls of one message."""
         for message_id, calls in self.calls_by_message.items():
             submission = self.records.submissions.get(message_id)
             if submission is None:
-                yield BrokenRule("doubled", f"a call of {message_id}, which nobody submitted")
+                yield BrokenRule("doubled", f"call of {message_id}, which no client submitted")
                 continue
             for earlier, later in pairwise(calls):
                 is_in_flight = not earlier.ended_at or earlier.ended_at > later.begun_at + LATE_DRAIN_SLACK_S
                 if is_in_flight and not self.was_killed_between(earlier, later):
-                    yield BrokenRule("doubled", f"two calls of {message_id} at once")
+                    yield BrokenRule("doubled", f"two concurrent calls of {message_id}")
             first_run = next((call for call in calls if call.reply.may_have_run), None)
             if first_run is None or submission.effect is Effect.REPEATABLE:
                 continue
@@ -176,7 +176,7 @@
                     yield BrokenRule("doubled", f"{message_id} ({submission.effect.value}) called again")
 
     def was_killed_between(self, earlier: Call, later: Call) -> bool:
-        """Whether the sender's process ended, and its connections with it."""
+        """Whether the sender's process was killed between two calls, which closes its connections."""
         return any(
             incarnation.sender == earlier.sender
             and earlier.begun_at <= incarnation.killed_at <= later.begun_at
@@ -184,7 +184,7 @@
         )
 
     def calls_to_departed_endpoints(self) -> Iterator[BrokenRule]:
-        """Calls later than the grace after a departure counts as received."""
+        """Yields calls to an endpoint after the drain grace of its departure."""
         allowed_until = {
             (departure.sender, departure.endpoint_id): departure.received_by
             + self.settings.grace_s
@@ -200,7 +200,7 @@
                 )
 
     def overloaded_recoveries(self) -> Iterator[BrokenRule]:
-        """More calls than the budget, in the first window behind an outage."""
+        """Yields destinations with more calls than their budget in the first `overload_s` after an outage."""
         budget = self.settings.cold_rate * self.settings.overload_multiple * self.settings.overload_s
         factor = 3 if budget < SMALL_BUDGET_CALLS else 2
         allowed = budget + factor * sqrt(budget) + factor
@@ -212,11 +212,13 @@
                 if call.destination == outage.destination and outage.ended_at <= call.begun_at < window_end
             ]
             if len(calls) > allowed:
-                description = f"{len(calls)} calls of {allowed:.1f} at destination {outage.destination}"
+                description = (
+                    f"{len(calls)} calls, {allowed:.1f} allowed, to destination {outage.destination}"
+                )
                 yield BrokenRule("returning", description)
 
     def calls_out_of_order(self) -> Iterator[BrokenRule]:
-        """A later message of a key is called while an earlier one is not over."""
+        """Yields calls of a message while an earlier message of the same key has no final outcome."""
         queues: dict[tuple[int, str], list[Submission]] = defaultdict(list)
         for submission in self.records.submissions.values():
             if submission.ordering_key and submission.status in (200, 202):
@@ -226,20 +228,22 @@
             yield from self.calls_out_of_order_in_queue(queue)
 
     def calls_out_of_order_in_queue(self, queue: Sequence[Submission]) -> Iterator[BrokenRule]:
-        """Within one key."""
+        """Yields the calls out of order within the queue of one key."""
         for number, later in enumerate(queue):
             first_call = next(iter(self.calls_by_message[later.message_id]), None)
             if first_call is None:
                 continue
             for earlier in queue[:number]:
                 if earlier.answered_at >= later.sent_at:
-                    continue  # both were on their way at once: no order was asked for
+                    continue  # the client submitted both concurrently, which requests no order
                 ended = self.outcome_time(earlier)
                 if ended is None or ended > first_call.begun_at:
-                    yield BrokenRule("order", f"{later.message_id} before the end of {earlier.message_id}")
+                    yield BrokenRule(
+                        "order", f"{later.message_id} called before the outcome of {earlier.message_id}"
+                    )
 
     def calls_before_retry_after(self) -> Iterator[BrokenRule]:
-        """By sender and destination; a restart ends the wait."""
+        """Yields calls before the Retry-After of the same sender and destination; a restart ends the wait."""
         for refused in self.records.calls:
             if not refused.retry_after_s:
                 continue
@@ -248,4 +252,6 @@
                 same = call.sender == refused.sender and call.destination == refused.destination
                 early = refused.ended_at + RETRY_AFTER_SLACK_S < call.begun_at < until - RETRY_AFTER_SLACK_S
                 if same and early and not self.was_killed_between(refused, call):
-                    yield BrokenRule("wait", f"sender {call.sender} at destination {call.destination}")
+                    yield BrokenRule(
+                        "wait", f"sender {call.sender} called destination {call.destination} too early"
+                    )
--- a/ashpath/emulator/soak/plan.py
+++ b/ashpath/emulator/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws a day from its seed: every time, fault and number is settled before the day begins."""
+"""Draws the plan of a run from its seed: all times, faults and numbers are fixed before the run begins."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 SENDERS = 3
 DESTINATIONS = 3
-FIRST_FAULT_S = 1.5  # from the start of the day to its first fault
+FIRST_FAULT_S = 1.5  # earliest time of a fault after the start of the run
 FAILING_REPLIES = (
     AgentReply.SILENT,
     AgentReply.REJECT,
@@ -25,14 +25,14 @@
 
 
 class StopMethod(Enum):
-    """How a sender ends before it is started again."""
+    """How a sender is stopped before it is started again."""
 
     TERMINATE = "SIGTERM, and SIGKILL 3.7 s later"
     KILL = "SIGKILL"
 
 
 class RestartEvent(Struct, frozen=True):
-    """One sender, once."""
+    """One sender is stopped and started again."""
 
     at: float
     sender: int
@@ -40,7 +40,10 @@
 
 
 class DrainEvent(Struct, frozen=True):
-    """An endpoint leaves, as its agents fail by a script; `moves` SIGHUPs move them meanwhile."""
+    """An endpoint drains while the discovery agents fail with `replies`.
+
+    `moves` SIGHUPs to each sender meanwhile switch it between its agents.
+    """
 
     at: float
     destination: int
@@ -49,7 +52,7 @@
 
 
 class ProxyEvent(Struct, frozen=True):
-    """Connections of all senders to a destination fail in one way for a while."""
+    """Connections of all senders to a destination fail in one way for a limited time."""
 
     at: float
     until: float
@@ -58,7 +61,7 @@
 
 
 class OutageEvent(Struct, frozen=True):
-    """A destination is down, and resets all that it gets."""
+    """A destination is down, and resets every connection that sends a call."""
 
     at: float
     until: float
@@ -66,23 +69,23 @@
 
 
 class SoakPlan(Struct, frozen=True):
-    """One day. Times are seconds from its start."""
+    """The plan of one run. Times are seconds from the start of the run."""
 
     seed: int
     duration_s: float
     rate: float
-    """Requests a second at each sender."""
+    """Requests per second to each sender."""
     idle_clients: int
     restarts: tuple[RestartEvent, ...]
     drains: tuple[DrainEvent, ...]
     proxies: tuple[ProxyEvent, ...]
     outages: tuple[OutageEvent, ...]
     process_faults: tuple[ProcessFaults, ...]
-    """By sender, of each of its processes."""
+    """By sender; each process of that sender has these faults."""
 
 
 def draw_plan(seed: int, duration_s: float = 12.0) -> SoakPlan:
-    """The same for the same seed."""
+    """Returns the plan for a seed; the same seed gives the same plan."""
     random = Random(f"soak {seed}")
     last = duration_s - 5.0
     drain_at = random.uniform(FIRST_FAULT_S, last / 2)
--- a/ashpath/emulator/soak/records.py
+++ b/ashpath/emulator/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, endpoints, agents and the operator saw of a day. Times are seconds of the monotonic clock."""
+"""Records of what clients, endpoints, agents and the operator observe. Times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Effect(Enum):
-    """What a second run of a message would do."""
+    """Effect of a repeated attempt, which differs by traffic class. The value is the name of the class."""
 
     REPEATABLE = "free"
     DEDUPLICATED = "tag"
@@ -16,7 +16,7 @@
 
 
 class Submission(Struct):
-    """One request of a client."""
+    """One request that a client submits."""
 
     message_id: str
     sender: int
@@ -26,17 +26,17 @@
     sent_at: float
     deadline_at: float
     status: int = 0
-    """Of the answer; 0: there was none."""
+    """Status code of the response; 0 if none was received."""
     answered_at: float = 0.0
     connection_is_new: bool = False
     written: bool = False
-    """The last byte of the request was handed to the kernel."""
+    """Whether the last byte of the request was passed to the kernel."""
     closed_unanswered: bool = False
-    """The sender ended the connection in place of an answer."""
+    """Whether the sender closed the connection without a response."""
 
 
 class Reply(Enum):
-    """What an endpoint did with a call."""
+    """How an endpoint replied to a call."""
 
     DELIVERED = "200"
     OVERLOADED = "429"
@@ -46,7 +46,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the call had, or may have had, its effect."""
+        """Whether the call took effect, or may have."""
         return self not in (Reply.OVERLOADED, Reply.REFUSED)
 
 
@@ -60,17 +60,17 @@
     begun_at: float
     reply: Reply = Reply.HUNG
     ended_at: float = 0.0
-    """As the reply was written or the connection ended; 0: neither."""
+    """When the reply was written or the connection ended; 0 if neither happened."""
     retry_after_s: float = 0.0
 
 
 class Departure(Struct, frozen=True):
-    """An endpoint that a sender's agent had draining or removed."""
+    """An endpoint that a sender's discovery agent reported as draining or removed."""
 
     sender: int
     endpoint_id: str
     received_by: float
-    """From then on it counts as received, whatever polls met."""
+    """The report counts as received by the sender from this time on, even if polls failed."""
 
 
 class Incarnation(Struct):
@@ -79,14 +79,14 @@
     sender: int
     started_at: float
     ready_at: float = 0.0
-    """0: it never was."""
+    """0 if the process never became ready."""
     end_began_at: float = 1e18
-    """SIGTERM, or SIGKILL where that came alone."""
+    """Time of SIGTERM, or of SIGKILL if no SIGTERM was sent."""
     killed_at: float = 1e18
 
 
 class NetworkFault(Struct, frozen=True):
-    """A time in which a sender's process cannot dial, or loses what it is sent."""
+    """A period in which a sender's process cannot connect, or loses received data."""
 
     sender: int
     began_at: float
@@ -94,7 +94,7 @@
 
 
 class Outage(Struct, frozen=True):
-    """A destination that was down, and then was back with a part of its capacity."""
+    """A period in which a destination was down; it recovers with a part of its capacity."""
 
     destination: int
     began_at: float
@@ -102,12 +102,12 @@
 
 
 class SoakRecords(Struct):
-    """Of one day, to be judged once it is over."""
+    """The records of one run, which the rule checker reads after the run."""
 
     submissions: dict[str, Submission] = field(default_factory=dict)
     calls: list[Call] = field(default_factory=list)
     notices: dict[str, float] = field(default_factory=dict)
-    """When each message's end was first notified."""
+    """Time of the first notification of each message's final outcome, by message id."""
     departures: list[Departure] = field(default_factory=list)
     incarnations: list[Incarnation] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -1,4 +1,4 @@
-"""One sender of a day: its folder, its processes one after the other, its agents, and the signals it gets."""
+"""One sender of a run: its folder, its successive processes, its discovery agents and its signals."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 LAUNCHER = "ashpath.emulator.fault_injection.launcher"
 READY_POLL_S = 0.02
 READY_TIMEOUT_S = 0.5
-KILL_AFTER_TERM_S = 3.7
-DOWNTIME_S = 0.6
+KILL_AFTER_TERM_S = 3.7  # the earliest SIGKILL after SIGTERM
+DOWNTIME_S = 0.6  # between the end of a process and the next start
 
 
 class SoakSender:
-    """`agents`: where it finds discovery, the first one at its start."""
+    """`agents` serve the sender's service discovery; the sender starts with the first agent."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.configure(agents[0])
 
     def configure(self, agent: DiscoveryAgent) -> None:
-        """Writes its file, with this agent's address and list."""
+        """Writes the configuration file, with the address and the endpoint list of `agent`."""
         document = {
             "seed": f"{self.number + 1:x}",
             "settings": self._settings | {"rank": self.number},
@@ -71,7 +71,7 @@
         os.replace(temporary, self._folder / "config.json")
 
     def start(self) -> None:
-        """Starts a process, and has it watched until it is ready."""
+        """Starts a process, and a greenlet that records when it becomes ready or exits."""
         environment = os.environ | {
             "RELAY_NAME": f"n{self.number}",
             "RELAY_LISTEN": f"{LOOPBACK}:{self.address[1]}",
@@ -89,14 +89,14 @@
         gevent.spawn(self._watch, self._process, incarnation)
 
     def _watch(self, process: subprocess.Popen[bytes], incarnation: Incarnation) -> None:
-        """Notes when it is ready, and whether it ends by itself."""
+        """Records when the process becomes ready, and whether it ends unexpectedly."""
         while process.poll() is None:
             if not incarnation.ready_at and self._is_ready():
                 incarnation.ready_at = monotonic()
             gevent.sleep(READY_POLL_S)
         if incarnation.end_began_at > monotonic():
             code = process.returncode
-            self._records.crashes.append(f"sender {self.number} ended by itself with exit code {code}")
+            self._records.crashes.append(f"sender {self.number} ended unexpectedly with exit code {code}")
 
     def _is_ready(self) -> bool:
         try:
@@ -105,16 +105,16 @@
             return False
 
     def reload(self, agent: DiscoveryAgent) -> None:
-        """SIGHUP: discovery is at another agent."""
+        """Configures another agent, and sends SIGHUP if the process is ready."""
         self.configure(agent)
         process = self._process
-        # One that is not ready may not have its handler yet: the interpreter's own start takes a while.
+        # Before readiness the interpreter may still be starting, with no SIGHUP handler installed.
         is_ready = self._records.incarnations[self._incarnation_index()].ready_at > 0
         if process is not None and process.poll() is None and is_ready:
             process.send_signal(signal.SIGHUP)
 
     def terminate(self) -> None:
-        """SIGTERM, and the page's earliest SIGKILL behind it; then it is down for a moment."""
+        """Sends SIGTERM, then SIGKILL after `KILL_AFTER_TERM_S`, and waits for `DOWNTIME_S`."""
         process = self._process
         if process is not None:
             self._records.incarnations[self._incarnation_index()].end_began_at = monotonic()
@@ -123,7 +123,7 @@
             self.kill()
 
     def kill(self) -> None:
-        """SIGKILL; then it is down for a moment."""
+        """Sends SIGKILL, and waits for `DOWNTIME_S`."""
         process = self._process
         if process is not None:
             incarnation = self._records.incarnations[self._incarnation_index()]
@@ -142,5 +142,5 @@
         return numbers[-1]
 
     def is_running(self) -> bool:
-        """Whether a process of it is there."""
+        """Whether the sender has a running process."""
         return self._process is not None and self._process.poll() is None
--- a/tests/emulator/soak/test_day.py
+++ b/tests/emulator/soak/test_day.py
@@ -1,4 +1,4 @@
-"""Days of real senders under faults of all kinds at once: a few seeds, and each is the same again."""
+"""Soak runs of real senders under faults of all kinds at once, for a few seeds."""
 
 from __future__ import annotations
 
@@ -25,6 +25,6 @@
 
 
 def test_soak_runs_break_no_rule(tmp_path: Path) -> None:
-    """Side by side: each is a few processes that mostly wait."""
+    """The seeds run concurrently: each run is a few processes that are mostly idle."""
     plays = {seed: gevent.spawn(broken_rules, seed, tmp_path) for seed in SEEDS}
     assert {seed: found for seed, play in plays.items() if (found := play.get())} == {}
--- a/tests/emulator/soak/test_judge.py
+++ b/tests/emulator/soak/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge of a soak finds each broken rule, and nothing where there is none."""
+"""The rule checker of a soak run reports each broken rule, and nothing for permitted behaviour."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def valid_records() -> SoakRecords:
-    """One message of each kind, delivered; one given up and notified."""
+    """One message per traffic class is delivered; one is given up and notified."""
     records = SoakRecords(ended_at=60.0, incarnations=[Incarnation(0, 0.0, 0.3)])
     for number, effect in enumerate(Effect):
         records.submissions[f"m{number}"] = submission(f"m{number}", effect)
@@ -79,7 +79,7 @@
 
 
 def called_without_submission(records: SoakRecords) -> None:
-    records.calls.append(call("nobody's", 4.0))
+    records.calls.append(call("not submitted", 4.0))
 
 
 def called_after_drain_grace(records: SoakRecords) -> None:
@@ -101,8 +101,8 @@
     add(records, call("x", 4.0, Reply.OVERLOADED, wait_s=2.0), call("y", 5.0), call("x", 6.2))
 
 
-def ended_by_itself(records: SoakRecords) -> None:
-    records.crashes.append("sender 0 ended by itself with exit code 1")
+def ended_unexpectedly(records: SoakRecords) -> None:
+    records.crashes.append("sender 0 ended unexpectedly with exit code 1")
 
 
 def never_ready(records: SoakRecords) -> None:
@@ -121,7 +121,7 @@
     "returning": (overloaded_after_outage,),
     "order": (called_out_of_order,),
     "wait": (called_before_retry_after,),
-    "crash": (ended_by_itself, never_ready),
+    "crash": (ended_unexpectedly, never_ready),
 }
 
 
