--- a/ashpath/emulator/fault_injection/__init__.py
+++ b/ashpath/emulator/fault_injection/__init__.py
@@ -1,8 +1,9 @@
-"""Faults on purpose, for real senders on loopback: what a network, an agent, a disk, a clock and a kernel
-do on a bad day, each by a seeded schedule, so that a run can be played again.
+"""Fault injection for real senders on loopback: faults of the network, the discovery agent, the disk, the
+clock and the kernel, each by a seeded schedule, so that a run can be repeated.
 
-`tcp_proxy` stands between a sender and what it calls, `discovery_agent` is the agent of service discovery,
-`call_faults` says which system calls fail and when, `process_faults` makes them fail within one process, and
-`launcher` starts a sender with them. Tests and `benchmarks.soak` call it; a sender never imports it, and
-nothing here decides whether a run was good.
+`tcp_proxy` fails the connections of a sender to its targets, and `discovery_agent` is an agent of service
+discovery that fails by a script. `call_faults` defines which system calls fail and when, `process_faults`
+makes them fail within one process, and `launcher` starts a sender with these faults. Tests and
+`benchmarks.soak` use the package; a sender never imports it, and the package does not decide whether a run
+passed.
 """
--- a/ashpath/emulator/fault_injection/call_faults.py
+++ b/ashpath/emulator/fault_injection/call_faults.py
@@ -1,13 +1,13 @@
-"""Which system calls of a process fail, how, and when: a schedule that is read from JSON, free of I/O.
+"""The schedule of system calls that fail in a process, encoded as JSON. The module does no I/O itself.
 
-| field of a fault | what it says |
+| field of a fault | meaning |
 | --- | --- |
-| `call` | which call, see `FaultyCall` |
-| `error` | the errno's name, or `short` for a read or write of one byte less than half of what was asked |
-| `begin_s`, `end_s` | seconds from the process's start between which calls fail |
-| `skip`, `count` | of those calls, so many go through first, and so many fail; a count of 0 is all |
+| `call` | the call that fails, see `FaultyCall` |
+| `error` | the errno's name, or `short`: one byte less than half is sent or received, or half is written |
+| `begin_s`, `end_s` | the interval in which calls fail, in seconds since the start of the process |
+| `skip`, `count` | of those calls, `skip` succeed first and the next `count` fail; a count of 0 fails all |
 
-A step of the wall clock is a `ClockStep`: from `begin_s` on it is `step_s` ahead of what it was.
+A `ClockStep` sets the wall clock `step_s` ahead from `begin_s` on.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class FaultyCall(Enum):
-    """The calls that can be made to fail; the value stands in the schedule."""
+    """The calls that can be made to fail; the schedule contains the value."""
 
     ACCEPT = "accept"
     SOCKET = "socket"
@@ -38,7 +38,7 @@
 
 
 class CallFault(Struct, frozen=True):
-    """One run of failing calls."""
+    """A series of failing calls."""
 
     call: FaultyCall
     error: str
@@ -49,7 +49,7 @@
 
 
 class ClockStep(Struct, frozen=True):
-    """The wall clock jumps."""
+    """One step of the wall clock."""
 
     begin_s: float
     step_s: float
@@ -62,29 +62,29 @@
     clock: tuple[ClockStep, ...] = ()
 
     def encode(self) -> bytes:
-        """As the launcher reads it."""
+        """Returns the schedule in JSON, as the launcher reads it."""
         return msgspec.json.encode(self)
 
     @classmethod
     def decode(cls, data: bytes) -> ProcessFaults:
-        """Raises msgspec.ValidationError and msgspec.DecodeError."""
+        """Reads a schedule in JSON. Raises msgspec.ValidationError and msgspec.DecodeError."""
         return msgspec.json.decode(data, type=cls)
 
     def clock_offset_s(self, elapsed_s: float) -> float:
-        """How far the wall clock is ahead of the true one."""
+        """Returns the seconds by which the wall clock is ahead of the true time."""
         return sum(step.step_s for step in self.clock if elapsed_s >= step.begin_s)
 
 
 class FaultCounter:
-    """Says of each call in turn whether it fails."""
+    """Decides for each call in turn whether the call fails, and counts the injected faults."""
 
     def __init__(self, faults: ProcessFaults) -> None:
         self.faults = faults
-        self.matching_calls = [0] * len(faults.calls)  # calls within the time of each fault
+        self.matching_calls = [0] * len(faults.calls)  # by fault: calls within its interval
         self.injected: dict[str, int] = {}  # by call and error
 
     def next_error(self, call: FaultyCall, elapsed_s: float) -> str | None:
-        """The name of the error that this call has; None if it goes through."""
+        """Returns the name of the error with which the call fails, or None if the call succeeds."""
         for number, fault in enumerate(self.faults.calls):
             if fault.call is not call or not fault.begin_s <= elapsed_s < fault.end_s:
                 continue
@@ -99,7 +99,7 @@
 
 
 def os_error(name: str) -> OSError:
-    """The exception that a system call raises for an errno's name."""
+    """Returns the exception that a system call raises for an errno's name."""
     number = getattr(errno, name)
     return OSError(number, f"injected {name}")
 
@@ -120,8 +120,8 @@
 
 
 def draw_faults(random: Random, duration_s: float) -> ProcessFaults:
-    """A bad day for one process: a few bursts of calls that fail here, a disk that fails for a while, and
-    perhaps a step of the clock."""
+    """Draws the faults of one process: short series of failing network calls, a period of a failing disk, and
+    a step of the clock, each with some probability."""
     calls = []
     for call, errors in LOCAL_NETWORK_FAULTS:
         if random.random() < 0.5:
--- a/ashpath/emulator/fault_injection/discovery_agent.py
+++ b/ashpath/emulator/fault_injection/discovery_agent.py
@@ -1,16 +1,16 @@
-"""An agent of service discovery that fails by a script, and keeps a record of each poll.
+"""An agent of service discovery that fails by a script, and records each poll.
 
-| reply | what a poll meets |
+| reply | what a poll receives |
 | --- | --- |
-| ANSWER | the protocol: a watch waits for a change, a poll without a revision is answered at once |
-| SILENT | the request is read, and nothing comes |
+| ANSWER | the list, by the protocol: a watch waits for a change, a snapshot request does not |
+| SILENT | no response; the request is read |
 | REJECT | 503 with the agent's Retry-After |
-| RESET | the connection is reset as the request has been read |
-| CLOSE | the connection ends in order |
-| UNREADABLE | 200, and half a list |
+| RESET | a reset of the connection after the request is read |
+| CLOSE | an orderly close of the connection |
+| UNREADABLE | 200 with a truncated list |
 
-Replies are taken from `script`, one a poll; without one left, `default_reply` holds. Notices are taken at any
-time, also while polls fail.
+Each poll takes the next reply from `script`, or `default_reply` once the script is empty. Notices are accepted
+at any time, also while polls fail.
 """
 
 from __future__ import annotations
@@ -56,17 +56,17 @@
     """One poll of a sender."""
 
     at: float
-    """Seconds of the monotonic clock, as the request was read."""
+    """Time at which the request was read, in seconds of the monotonic clock."""
     index: int | None
-    """The revision that it had; None: it asked for a snapshot."""
+    """The revision that the poll names; None if the poll requests a snapshot."""
     reply: AgentReply
     sent_revision: int = 0
-    """Of the list that was written whole; 0: none was."""
+    """Revision of the list that was written completely; 0 if no list was."""
     sent_at: float = 0.0
 
 
 class DiscoveryAgent:
-    """Listens from its making to `stop`."""
+    """Listens from construction until `stop`."""
 
     def __init__(
         self, members: list[JsonObject], limits: ServerLimits, revision: int = 1, retry_after_s: float = 0.0
@@ -76,25 +76,25 @@
         self.retry_after_s = retry_after_s
         self.script: deque[AgentReply] = deque()
         self.default_reply = AgentReply.ANSWER
-        self.delay_s = 0.0  # before each answer
+        self.delay_s = 0.0  # before each list is written
         self.polls: list[PollRecord] = []
-        self.notices: list[tuple[JsonObject, float]] = []  # each line, and when it came
+        self.notices: list[tuple[JsonObject, float]] = []  # each line with its time of arrival
         self._limits = limits
         self._changed = Event()
-        self._silence_count = 0  # how often open watches fell silent
+        self._silence_count = 0  # calls of `silence_watches`
         self._server = StreamServer((LOOPBACK, 0), self._serve)
         self._server.start()
         self.address = f"{LOOPBACK}:{self._server.server_port}"
 
     def change(self, members: list[JsonObject], revision: int | None = None) -> None:
-        """The list is another one from now on, with the next revision or the one given; watches end."""
+        """Replaces the list, with the next revision or `revision`, and answers the open watches."""
         self.members = members
         self.revision = self.revision + 1 if revision is None else revision
         self._changed.set()
         self._changed = Event()
 
     def silence_watches(self) -> None:
-        """The watches that are open now are never answered."""
+        """Leaves the watches that are open now without a response."""
         self._silence_count += 1
 
     def stop(self) -> None:
@@ -117,7 +117,7 @@
             connection.close()
 
     def _reply(self, connection: HttpConnection, request: HttpRequest) -> bool:
-        """Whether the connection goes on."""
+        """Serves one poll, and returns whether the connection stays open."""
         query = parse_qs(request.url.partition(b"?")[2])
         index = int(query[b"index"][0]) if b"index" in query else None
         reply = self.script.popleft() if self.script else self.default_reply
--- a/ashpath/emulator/fault_injection/launcher.py
+++ b/ashpath/emulator/fault_injection/launcher.py
@@ -2,8 +2,8 @@
 
     python -m ashpath.emulator.fault_injection.launcher
 
-`ASHPATH_FAULTS` names the schedule's file (`call_faults.ProcessFaults`), beside which the counts of injected
-faults are written, with `.injected` behind its name. All else is the sender's own environment.
+`ASHPATH_FAULTS` names the file of the schedule (`call_faults.ProcessFaults`). The counts of injected faults
+are written to a file beside it with the suffix `.injected`. All other environment variables are the sender's.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def report_path(schedule: Path) -> Path:
-    """Where the counts of injected faults stand."""
+    """Returns the path of the file with the counts of injected faults."""
     return schedule.with_name(f"{schedule.name}.injected")
 
 
 def main() -> None:
-    """Never returns: it becomes the sender."""
+    """Installs the faults, and runs the sender in this process."""
     schedule = Path(os.environ[SCHEDULE_VARIABLE])
     faults = ProcessFaults.decode(schedule.read_bytes())
     ProcessFaultInjector(faults, report_path(schedule)).install()
--- a/ashpath/emulator/fault_injection/process_faults.py
+++ b/ashpath/emulator/fault_injection/process_faults.py
@@ -1,8 +1,8 @@
-"""Makes the system calls of this process fail by a schedule: sockets of gevent, `os`, and the wall clock.
+"""Makes system calls of this process fail by a schedule: gevent sockets, functions of `os`, the wall clock.
 
-Only what a sender uses is replaced, and only here: the names below are bound anew once, before any module of
-the sender is loaded. Each fault that was injected is counted, and the counts are written to a file whenever
-they change, so that a test sees that a fault has reached the sender.
+Only functions that a sender uses are replaced, once, before any module of the sender is loaded. Each injected
+fault is counted, and the counts are written to a file whenever they change, so that a test can check that a
+fault has reached the sender.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class ShortCall(Protocol):
-    """What a call does where it is to take or give less than it was asked for; its result."""
+    """A replacement of a call that transfers fewer bytes than requested, with the call's result."""
 
-    def __call__(self, *arguments: Any) -> Any:  # noqa: ANN401 - stands for calls of any shape
-        """Called with the arguments of the call."""
+    def __call__(self, *arguments: Any) -> Any:  # noqa: ANN401 - replaces calls with any signature
+        """Takes the real function, and the arguments of the call."""
 
 
 class ProcessFaultInjector:
-    """The faults of this process, from its making on. `report`: the file that gets the counts."""
+    """The faults of this process; times count from construction. The file `report` receives the counts."""
 
     def __init__(self, faults: ProcessFaults, report: Path) -> None:
         self.counter = FaultCounter(faults)
@@ -45,7 +45,7 @@
         self._real_time_ns = time.time_ns
 
     def install(self) -> None:
-        """From now on calls fail as scheduled."""
+        """Replaces the functions, so that calls fail as scheduled."""
         self._replace(socket.socket, "accept", FaultyCall.ACCEPT)
         self._replace(socket.socket, "connect", FaultyCall.CONNECT)
         self._replace(socket.socket, "recv_into", FaultyCall.RECEIVE, self._receive_short)
@@ -68,11 +68,11 @@
     ) -> None:
         real = getattr(owner, name)
 
-        def faulty(*arguments: Any, **options: Any) -> Any:  # noqa: ANN401 - stands for the real call
-            if options.get("fileno") is not None:  # no socket is made: one that was accepted is wrapped
+        def faulty(*arguments: Any, **options: Any) -> Any:  # noqa: ANN401 - replaces the real call
+            if options.get("fileno") is not None:  # wraps an accepted socket, and makes no system call
                 return real(*arguments, **options)
             if call is FaultyCall.RECEIVE and self._is_client_connection(arguments[0]):
-                return real(*arguments, **options)  # a client's broken connection owes it nothing
+                return real(*arguments, **options)  # a broken client connection breaks no rule
             error = self.counter.next_error(call, time.monotonic() - self.started_at)
             if error is None:
                 return real(*arguments, **options)
@@ -84,7 +84,7 @@
         setattr(owner, name, faulty)
 
     def _is_client_connection(self, sock: socket.socket) -> bool:
-        """Whether it was accepted: it has the port that the sender listens on."""
+        """Whether the connection was accepted: its local port is the port that the sender listens on."""
         try:
             return int(sock.getsockname()[1]) == self.listening_port
         except (OSError, IndexError):
--- a/ashpath/emulator/fault_injection/tcp_proxy.py
+++ b/ashpath/emulator/fault_injection/tcp_proxy.py
@@ -1,16 +1,17 @@
-"""A TCP proxy that does what networks do: it forwards each connection, or fails it by the mode of the moment.
+"""A TCP proxy that simulates network faults: it forwards each connection, or fails it by the current mode.
 
-| mode | what a connection meets |
+| mode | what a connection receives |
 | --- | --- |
-| FORWARD | the target |
-| LATE | the target, after `late_s` without a byte |
+| FORWARD | the bytes of the target |
+| LATE | the bytes of the target, after `late_s` without a byte |
 | RESET | a reset as soon as it is accepted |
-| RESET_AFTER_BYTE | a reset behind the first bytes that the caller sent |
-| SILENT | nothing: what the caller sends is read and dropped |
-| HALF_RESPONSE | the first half of what the target answers first, and then nothing |
+| RESET_AFTER_BYTE | a reset after the first byte that the caller sends |
+| SILENT | no byte; the bytes that the caller sends are read and dropped |
+| HALF_RESPONSE | the first half of the bytes that the target sends first, and no further byte |
 
-A connection keeps the mode that it was accepted under. `reset_connections` ends what is open: the caller's
-side is reset, and the target's is closed. `FullBacklog` is an address at which no dial ends.
+A connection keeps the mode under which it was accepted. `reset_connections` ends the open connections: the
+caller's side is reset, and the target's side is closed. `FullBacklog` is an address at which connection
+attempts neither succeed nor fail.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 CHUNK_BYTES = 65536
 SILENCE_S = 60.0
-FILLING_CONNECTIONS = 4  # more than a backlog of 0 takes
+FILLING_CONNECTIONS = 4  # more than a backlog of 0 accepts
 
 
 class ProxyMode(Enum):
@@ -42,27 +43,27 @@
 
 
 class FaultProxy:
-    """Listens from its making to `stop`."""
+    """Listens from construction until `stop`."""
 
     def __init__(self, target: tuple[str, int], late_s: float = 1.0) -> None:
         self.target = target
         self.late_s = late_s
         self.mode = ProxyMode.FORWARD
         self.accepted: dict[ProxyMode, int] = dict.fromkeys(ProxyMode, 0)
-        self._open: dict[socket.socket, socket.socket | None] = {}  # by the caller's end, the target's
+        self._open: dict[socket.socket, socket.socket | None] = {}  # the target's socket by the caller's
         self._server = StreamServer((LOOPBACK, 0), self._serve)
         self._server.start()
         self.address = f"{LOOPBACK}:{self._server.server_port}"
 
     def stop(self) -> None:
-        """Closes the listening socket, and resets what is open."""
+        """Closes the listening socket, and resets the open connections."""
         self._server.stop(timeout=0)
         self.reset_connections()
 
     def reset_connections(self) -> None:
         """Resets all open connections."""
         for caller, target in list(self._open.items()):
-            with suppress(OSError):  # it has just been closed
+            with suppress(OSError):  # the socket may have just been closed
                 reset_connection(caller)
             if target is not None:
                 target.close()
@@ -110,7 +111,7 @@
 
 
 def copy(source: socket.socket, sink: socket.socket) -> None:
-    """Carries bytes until either side ends."""
+    """Copies bytes until either side closes its connection."""
     with suppress(OSError):
         while chunk := source.recv(CHUNK_BYTES):
             sink.sendall(chunk)
@@ -118,7 +119,7 @@
 
 
 class FullBacklog:
-    """An address where dials neither succeed nor fail: its queue is full, and nobody accepts."""
+    """An address where connection attempts neither succeed nor fail, because the backlog is full."""
 
     def __init__(self) -> None:
         self._socket = socket.socket()
@@ -134,6 +135,6 @@
             self._filling.append(filler)
 
     def stop(self) -> None:
-        """Closes all of it."""
+        """Closes the listening socket and the connections that fill its backlog."""
         for sock in (*self._filling, self._socket):
             sock.close()
--- a/tests/emulator/fault_injection/test_fault_injection.py
+++ b/tests/emulator/fault_injection/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Each fault that can be injected is seen to reach a real sender, or whoever dials the proxy."""
+"""Each fault that can be injected reaches a real sender, or the caller that connects to the proxy."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from ashpath.emulator.fault_injection.launcher import SCHEDULE_VARIABLE, report_path
 from ashpath.emulator.fault_injection.tcp_proxy import FaultProxy, FullBacklog, ProxyMode
 
-EACH_FAULT = [  # how many calls go through first
+EACH_FAULT = [  # the call, its error, and the number of calls that succeed first
     (FaultyCall.ACCEPT, "ECONNABORTED", 8),
     (FaultyCall.CONNECT, "ENOBUFS", 1),
     (FaultyCall.RECEIVE, SHORT, 8),
@@ -39,7 +39,7 @@
 
 
 def test_each_injected_fault_reaches_sender_that_keeps_serving(world: World) -> None:
-    """One of each in one process: it starts, takes a message and delivers it all the same."""
+    """One fault of each kind in one process; the sender still starts, and accepts and delivers messages."""
     faults = [CallFault(call, error, skip=skip, count=1) for call, error, skip in EACH_FAULT]
     world.faults = ProcessFaults(tuple(faults))
     world.start()
@@ -107,7 +107,7 @@
     ],
 )
 def test_proxy_mode_decides_what_caller_receives(mode: ProxyMode, received: bytes | None) -> None:
-    """None: nothing comes."""
+    """`received` is None where the caller receives no byte and no end of the connection."""
     target = StreamServer(("127.0.0.1", 0), answer)
     target.start()
     proxy = FaultProxy(address_of(target), late_s=0.05)
