--- a/ashpath/emulator/loopback/__init__.py
+++ b/ashpath/emulator/loopback/__init__.py
@@ -1,7 +1,7 @@
-"""A scenario on loopback sockets, in real time: `ashpath serve` processes between destination servers, an
-agent for service discovery, and clients in a process of their own.
+"""Runs of a scenario on loopback sockets, in real time: `ashpath serve` processes, destination servers,
+agents of service discovery, and clients in a separate process.
 
-`ashpath.emulator.runs` and the tests call it. What is seen is put in order of time afterwards, and goes to
-the same invariant checker and the same scoreboard as in a simulation; nothing here may judge while the run
-goes on.
+`ashpath.emulator.runs` and the tests use the package. The observations are sorted by time after the run and
+replayed to the same invariant checker and the same scoreboard as in a simulation. No module of the package
+may check a rule during the run.
 """
--- a/ashpath/emulator/loopback/client_process.py
+++ b/ashpath/emulator/loopback/client_process.py
@@ -1,9 +1,9 @@
-"""The clients of a run on loopback, in a process of their own:
+"""The clients of a run on loopback, in a separate process:
 
     python -m ashpath.emulator.loopback.client_process JOB
 
-JOB is a file with a `ClientsJob` in JSON. Each request is submitted at its time, however the others fare;
-what becomes of it is a `ClientEvent` on a line of standard output.
+JOB is a file with a `ClientsJob` in JSON. Each request is submitted at its time, whatever the outcomes of
+other requests. Each event of a request is a `ClientEvent` in JSON on a line of standard output.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 
 DESCRIPTORS = 8192
 REQUEST_TIMEOUT_S = 600.0
-RESPONSE_TIMEOUT_S = 2.0  # for an answer
-RETRY_INTERVAL_S = 0.1  # a client whose sender does not answer tries another after this
-MIN_TIME_LEFT = 1000  # microseconds before its deadline, for another submission
+RESPONSE_TIMEOUT_S = 2.0
+RETRY_INTERVAL_S = 0.1  # before a client whose sender does not respond tries another sender
+MIN_TIME_LEFT = 1000  # microseconds before the deadline; with less left, a request is not submitted
 FOREVER_S = 1e9
 SUBMIT = b"POST %s HTTP/1.1" % wire_names.SUBMIT_PATH
 ACCEPTED = (200, 202)
@@ -45,7 +45,7 @@
 
 
 class Submission:
-    """A request, and how often it was submitted again."""
+    """A request, and the number of its resubmissions so far."""
 
     __slots__ = ("request", "resubmissions")
 
@@ -55,13 +55,13 @@
 
     @property
     def message_id(self) -> str:
-        """Of the message that carries the request this time."""
+        """The id of the message that carries the request in this submission."""
         if not self.resubmissions:
             return self.request.id
         return f"{self.request.id}{ATTEMPT_SEPARATOR}{self.resubmissions}"
 
     def headers(self, left: int) -> list[tuple[bytes, bytes]]:
-        """Of the submission, `left` microseconds before its deadline."""
+        """Returns the headers of the submission, `left` microseconds before its deadline."""
         request = self.request
         headers = [
             (b"X-Trace-Id", self.message_id.encode()),
@@ -76,7 +76,7 @@
 
 
 class Clients:
-    """`_open` has the messages that may still be rejected, and is emptied as they end."""
+    """Submits the requests of a job. `_open` has the messages that may still be rejected or fail."""
 
     def __init__(self, job: ClientsJob) -> None:
         limits = stand_in_limits(DESCRIPTORS, REQUEST_TIMEOUT_S)
@@ -88,7 +88,7 @@
         self._receiver = NoticeReceiver(self, limits, job.notice_port)
 
     def run(self) -> None:
-        """Submits all requests at their times, and goes on until the process is ended."""
+        """Submits all requests at their times, and receives notices until the process is ended."""
         for request in self._job.requests:
             gevent.sleep(max(0.0, (request.at - self._clock.now()) / SECOND))
             self._write_event(request.at, ClientEventKind.REQUESTED, request.id)
@@ -96,7 +96,7 @@
         gevent.sleep(FOREVER_S)
 
     def _submit(self, submission: Submission) -> None:
-        """Tries one sender after another until one answers, or the deadline has passed."""
+        """Tries randomly chosen senders until a sender responds or the deadline has passed."""
         request = submission.request
         message_id = submission.message_id
         self._open[message_id] = submission
@@ -128,13 +128,13 @@
             self._handle_outcome(message_id, outcome, retry_after_s, sender)
 
     def notified(self, notice: Notice) -> None:
-        """A sender could not deliver what it had accepted."""
+        """Handles the notice of a message that a sender accepted but could not deliver."""
         self._handle_outcome(notice.message_id, notice.outcome, notice.retry_after_s)
 
     def _handle_outcome(
         self, message_id: str, outcome: FinalOutcome, retry_after_s: float, sender: int = -1
     ) -> None:
-        """Rejected or failed; rejected, the request may be submitted again."""
+        """Records that a message was rejected or failed; a rejected request may be submitted again."""
         submission = self._open.pop(message_id, None)
         if submission is None:
             return
--- a/ashpath/emulator/loopback/clients_job.py
+++ b/ashpath/emulator/loopback/clients_job.py
@@ -1,5 +1,4 @@
-"""What passes between a run on loopback and the process of its clients: a job in a file, and events line
-by line."""
+"""The interface between a run on loopback and its client process: a job in a file, and events, one a line."""
 
 from __future__ import annotations
 
@@ -8,17 +7,16 @@
 from msgspec import Struct, field
 
 ATTEMPT_SEPARATOR = "."
-"""A request that is submitted again has an id of its own: the request's, this, and the number of the
-resubmission."""
+"""Separates the request's id from the number of the resubmission in the id of a resubmitted message."""
 
 
 def request_id(message_id: str) -> str:
-    """The id of the request that a message carries."""
+    """Returns the id of the request that a message carries."""
     return message_id.partition(ATTEMPT_SEPARATOR)[0]
 
 
 class PlannedRequest(Struct, array_like=True, frozen=True):
-    """One request, and when it is submitted first. Times are microseconds of the run's clock."""
+    """One request, and the time of its first submission. Times are microseconds of the run's clock."""
 
     at: int
     id: str
@@ -27,37 +25,37 @@
     destination: int
     ordering_key: int | None
     deadline: int
-    """From its submission."""
+    """Time from the first submission to the deadline."""
 
 
 class ClientsJob(Struct, frozen=True):
-    """What the clients of a run do."""
+    """The job of the clients of a run."""
 
     began: int
-    """The run's beginning on the machine's monotonic clock, in microseconds."""
+    """Start of the run on the monotonic clock, in microseconds."""
     seed: int
     senders: list[tuple[str, int]]
     notice_port: int = field(name="notices")
     requests: list[PlannedRequest] = field(name="rows")
     max_resubmissions: int = field(name="retries")
     backoff: int
-    """Microseconds before the first resubmission, where there is no Retry-After; doubled each time."""
+    """Microseconds before the first resubmission without a Retry-After; doubled with each resubmission."""
     retry_after_share: float = field(name="heeds")
-    """Of clients that heed Retry-After."""
+    """Share of the resubmissions that wait for Retry-After."""
 
 
 class ClientEventKind(StrEnum):
-    """What a client did or learned.
+    """Kinds of client events.
 
-    The values are the names in lines of the process and in the tests' cases.
+    The values are written in the output lines of the process and in the test cases.
     """
 
     REQUESTED = "asked"
     """A request was created."""
     UNANSWERED = "unanswered"
-    """A submission went out, and whether it was read nobody knows."""
+    """A submission received no response; the sender may have read it."""
     ANSWERED = "taken"
-    """A submission has an answer; the time is that of the submission."""
+    """A submission received a response; the time of the event is that of the submission."""
     REJECTED = "bounced"
     FAILED = "aborted"
     GIVEN_UP = "lost"
@@ -71,4 +69,4 @@
     kind: ClientEventKind
     message_id: str
     sender: int = -1
-    """Below 0 where no sender is known."""
+    """Negative if no sender is known."""
--- a/ashpath/emulator/loopback/clients_runner.py
+++ b/ashpath/emulator/loopback/clients_runner.py
@@ -1,4 +1,4 @@
-"""Plans the requests of a run on loopback, and runs the process of the clients that submit them."""
+"""Plans the requests of a run on loopback, and runs the client process that submits the requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def plan_requests(
     scenario: Scenario, arrivals: Arrivals, deadlines: list[int]
 ) -> tuple[list[PlannedRequest], dict[str, ClientRequest]]:
-    """Every request of the run, for the clients and by its id; `deadlines` are by traffic class."""
+    """Returns the requests of the run, as a list for the clients and by id; `deadlines` are by class."""
     planned: list[PlannedRequest] = []
     requests: dict[str, ClientRequest] = {}
     names = list(scenario.traffic_classes)
@@ -54,7 +54,7 @@
 
 
 class ClientsRunner:
-    """The process of the clients, and the greenlet that reads its events into the log."""
+    """The client process, and the greenlet that reads the events of the process into the log."""
 
     def __init__(self, folder: Path, job: ClientsJob, log: ObservationLog) -> None:
         self._log = log
@@ -73,16 +73,16 @@
             self._log.add(msgspec.json.decode(line, type=ClientEvent))
 
     def is_running(self) -> bool:
-        """Whether events may still come."""
+        """Whether the process may still write events."""
         return not self._reader.dead
 
     def finish(self) -> None:
-        """Ends the process, and reads the last of its events."""
+        """Terminates the process, and reads its remaining events."""
         self._process.terminate()
         self._reader.join(FINAL_EVENTS_TIMEOUT_S)
 
     def kill(self) -> None:
-        """Ends the process if it still runs."""
+        """Kills the process if it still runs."""
         if self._process.poll() is None:
             self._process.kill()
             self._process.wait()
--- a/ashpath/emulator/loopback/discovery_server.py
+++ b/ashpath/emulator/loopback/discovery_server.py
@@ -1,5 +1,4 @@
-"""The agent of one sender's service discovery: a list with a revision, and a watch that waits for the
-next."""
+"""The service discovery agent of one sender: a list with a revision, and a watch for the next revision."""
 
 from __future__ import annotations
 
@@ -24,14 +23,14 @@
 
 
 class EndpointsObserver(Protocol):
-    """Who is notified of what the agent reported to its sender."""
+    """Observes which endpoints the agent reports to its sender."""
 
     def endpoints_reported(self, records: list[EndpointRecord]) -> None:
-        """The whole list was written as an answer."""
+        """Called after a complete list was written to the sender."""
 
 
 class DiscoveryServer:
-    """Listens from its making to `stop`. `addresses` is read as endpoints are reported, and may grow."""
+    """Listens from construction until `stop`. `addresses` is read for each report, and may grow."""
 
     def __init__(
         self,
@@ -53,7 +52,7 @@
         self.address = f"{LOOPBACK}:{self._server.server_port}"
 
     def change(self, records: list[EndpointRecord]) -> None:
-        """The list is another one from now on."""
+        """Replaces the list, and answers the open watches."""
         self._records = records
         self._revision += 1
         self._changed.set()
--- a/ashpath/emulator/loopback/faults.py
+++ b/ashpath/emulator/loopback/faults.py
@@ -1,4 +1,4 @@
-"""The script of faults of a run on loopback, each at its time by a greenlet of its own."""
+"""The scripted faults of a run on loopback; a separate greenlet applies each fault at its time."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 def check_supported(scenario: Scenario) -> None:
-    """Raises UnsupportedFaultError where only the simulation can play the script."""
+    """Raises UnsupportedFaultError if only the simulation supports a fault of the script."""
     for fault in scenario.faults:
         if fault.kind in SIMULATION_ONLY or fault.condition:
             raise UnsupportedFaultError(fault.condition or fault.kind)
 
 
 class LoopbackFaults:
-    """Plays the script against servers, agents and sender processes."""
+    """Applies the script to destination servers, agents and sender processes."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._random = random
         self._clock = clock
         self._servers = servers  # by endpoint
-        self._addresses = addresses  # the same, as agents report them
+        self._addresses = addresses  # by endpoint, as agents report them
         self._agents = agents
         self._agent_delays = agent_delays  # microseconds
         self._senders = senders
@@ -61,7 +61,7 @@
         self._records = {record.endpoint_id: record for record in topology.endpoints}
 
     def schedule_all(self) -> None:
-        """The run has begun."""
+        """Schedules all faults. Called at the start of the run."""
         for fault in self._scenario.faults:
             if fault.kind != TRAFFIC:
                 begins = int(fault.at or 0)
@@ -97,7 +97,10 @@
         self._topology.destinations[number].remove_fault(fault, amount, self._clock.now())
 
     def _replace(self, number: int, max_count: int) -> None:
-        """An endpoint's connections are reset, and its successor has its address under another id."""
+        """Replaces up to `max_count` endpoints, or all if 0.
+
+        The connections of a replaced endpoint are reset, and its successor has its address and another id.
+        """
         destination = self._topology.destinations[number]
         for name in list(destination.endpoints)[: max_count or None]:
             old = self._records.pop(name)
--- a/ashpath/emulator/loopback/observations.py
+++ b/ashpath/emulator/loopback/observations.py
@@ -1,4 +1,4 @@
-"""What is seen during a run on loopback, in any order; each observation has its time in microseconds."""
+"""Observations of a run on loopback, in any order; each has its time in microseconds of the run's clock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointReported:
-    """Service discovery reported to a sender that an endpoint is listed, or no longer is."""
+    """Service discovery reported to a sender that an endpoint is listed or no longer listed."""
 
     at: int
     sender: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallArrived:
-    """A call came in at a destination."""
+    """A call arrived at a destination."""
 
     at: int
     message_id: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """A call ended at a destination, with this outcome for its sender."""
+    """A call ended at a destination; `outcome` is the outcome that its sender observes."""
 
     at: int
     message_id: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutageBegan:
-    """A destination went into an outage."""
+    """An outage of a destination began."""
 
     at: int
     destination: int
@@ -67,9 +67,9 @@
 
 
 class ObservationLog:
-    """Grows with the run; `open_requests` is emptied as requests are delivered or given up.
+    """The observations of a run. Destination servers report to the log as their observer.
 
-    It is the observer of destination servers.
+    `open_requests` has the ids of the requests that are neither delivered nor given up.
     """
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
         self._observations: list[Observation] = []
 
     def add(self, observation: Observation) -> None:
-        """Keeps it."""
+        """Appends an observation, and removes its request from `open_requests` if the request has ended."""
         self._observations.append(observation)
         match observation:
             case ClientEvent(kind=ClientEventKind.GIVEN_UP, message_id=id_):
@@ -86,18 +86,18 @@
                 self.open_requests.discard(request_id(id_))
 
     def sorted_by_time(self) -> list[Observation]:
-        """Those of one moment in the order they were seen."""
+        """Returns the observations by time; those of the same time keep their order of arrival."""
         return sorted(self._observations, key=lambda observation: observation.at)
 
     def move_to_run_start(self) -> None:
-        """The run begins now: what was seen before is of its first moment."""
+        """Sets the time of all observations so far to 0, the start of the run; client events keep theirs."""
         self._observations = [
             observation if isinstance(observation, ClientEvent) else replace(observation, at=0)
             for observation in self._observations
         ]
 
     def call_arrived(self, at: int, endpoint: str, message_id: str) -> None:
-        """A call has come in whole."""
+        """Records a call that has arrived completely."""
         self.add(CallArrived(at, message_id, endpoint))
 
     def call_ended(
@@ -110,7 +110,7 @@
         *,
         was_answered: bool,
     ) -> None:
-        """The response is written, or the caller has gone."""
+        """Records that the response was written, or that the caller closed the connection."""
         outcome = AttemptOutcome.TIMED_OUT
         retry_after = 0
         if was_answered:
@@ -120,7 +120,7 @@
 
 
 class ReportedEndpoints:
-    """Observes one sender's agent, and logs what changed since the last report."""
+    """Observes the agent of one sender, and logs which endpoints are listed after each report."""
 
     def __init__(self, sender: int, clock: RunClock, log: ObservationLog) -> None:
         self._sender = sender
@@ -129,7 +129,7 @@
         self._listed: set[str] = set()
 
     def endpoints_reported(self, records: list[EndpointRecord]) -> None:
-        """The whole list was written as an answer."""
+        """Logs the endpoints of a complete list that the agent wrote, and those no longer listed."""
         at = self._clock.now()
         listed = {record.endpoint_id for record in records}
         for name in self._listed | listed:
--- a/ashpath/emulator/loopback/replay.py
+++ b/ashpath/emulator/loopback/replay.py
@@ -1,5 +1,4 @@
-"""Reports a run on loopback to the invariant checker and the scoreboard, in order of time, once it is
-over."""
+"""Replays the observations of a finished loopback run to the invariant checker and scoreboard, by time."""
 
 from __future__ import annotations
 
@@ -23,14 +22,14 @@
 from ashpath.emulator.topology import Topology
 from ashpath.emulator.units import SECOND
 
-SLACK = 50_000  # microseconds by which the checker is milder on sockets: clocks and the way of a call
+SLACK = 50_000  # microseconds that the checker allows on sockets for clocks and the transit of a call
 DEADLINE_SLACK = 6 * SLACK
-SUBMISSION_TIMEOUT = 2 * SECOND  # of clients, for the answer to a submission
+SUBMISSION_TIMEOUT = 2 * SECOND  # within which clients expect the response to a submission
 CHECK_AFTER_END = 60 * SECOND
 
 
 def checker_for_sockets(settings: PolicySettings, watched: str) -> InvariantChecker:
-    """An invariant checker that allows for the slack of sockets and clocks."""
+    """Returns an invariant checker with tolerances for sockets and clocks."""
     return InvariantChecker(
         settings.drain_grace + SLACK, settings.settle_time - SLACK, watched, retry_after_slack=2 * SLACK
     )
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedMessage:
-    """Which sender accepted a message, and a number for it that no other has."""
+    """The sender that accepted a message, and a number that is unique to the message."""
 
     sender: int
     number: int
@@ -46,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnansweredSubmission:
-    """When a submission went out whose answer never came, and to whom."""
+    """Time and sender of a submission to which no response came."""
 
     at: int
     sender: int
@@ -73,11 +72,11 @@
         self._accepted: dict[str, AcceptedMessage] = {}
         self._ended_requests: set[str] = set()
         self._unanswered: dict[str, list[UnansweredSubmission]] = {}
-        self._kills: dict[int, list[int]] = {}  # when, by sender
+        self._kills: dict[int, list[int]] = {}  # times by sender
         self._delivered_at: dict[str, int] = {}
 
     def run(self, observations: list[Observation], now: int) -> None:
-        """Reports them, and ends the run; `observations` are in order of time."""
+        """Replays the observations, which are sorted by time, and completes the final checks."""
         for observation in observations:
             self._report(observation)
         last = max((observation.at for observation in observations), default=0)
@@ -184,11 +183,11 @@
             self._scoreboard.delivered(call.at, request, self._value(request, call.at))
 
     def _is_ambiguous(self, message_id: str, message: AcceptedMessage) -> bool:
-        """Whether which of two incarnations or senders sends the message cannot be distinguished.
+        """Whether the observations leave open which of two incarnations or senders sends the message.
 
-        A sender was killed as its answer to the client, or a destination's response, was on the way: its
-        next incarnation may go on with what may be repeated, though the client has submitted it elsewhere,
-        or it is delivered.
+        This is so if a sender was killed while its response to the client, or a destination's response, was
+        in transit: its next incarnation may continue with a message that may be repeated, though the client
+        has submitted the request to another sender, or the message is delivered.
         """
         request = self._requests[request_id(message_id)]
         if self._traffic_classes[request.traffic_class].retry_safety is RetrySafety.AT_MOST_ONCE:
--- a/ashpath/emulator/loopback/run.py
+++ b/ashpath/emulator/loopback/run.py
@@ -1,9 +1,9 @@
-"""One run of a scenario on loopback: puts its parts together, plays it, and replays what was seen.
+"""One run of a scenario on loopback: sets up its parts, executes the run, and replays the observations.
 
-start     the senders are started, and the run begins once all are ready and watch their endpoints
-play      clients submit and the script's faults begin, until all requests have their ends or time is up
-stop      whatever happened: processes are killed, sockets closed
-replay    what was seen goes to the checker and the scoreboard in order of time
+start     the senders are started, and the run begins once all are ready and watch their endpoint lists
+play      clients submit requests and faults begin, until all requests have ended or the time limit is reached
+stop      processes are killed and sockets closed, also after an error
+replay    the observations are replayed to the checker and the scoreboard, by time
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 DESCRIPTORS = 8192
 REQUEST_TIMEOUT_S = 600.0
-MAX_TIME_AFTER_DEADLINE = 5 * SECOND  # a run goes on so long past the last deadline at most
-WATCH_START_S = 0.3
-FINAL_REPORTS_S = 0.3
+MAX_TIME_AFTER_DEADLINE = 5 * SECOND  # the time limit of a run after the last deadline
+WATCH_START_S = 0.3  # for the senders to open their watches
+FINAL_REPORTS_S = 0.3  # for the last observations to arrive
 PROGRESS_POLL_S = 0.1
 
 
 class LoopbackRun:
-    """One run; it listens from its making, and is over with `run`."""
+    """One run. Servers and agents listen from construction until the end of `run`."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         return DiscoveryServer(kinds, self._addresses, self._topology.endpoints, observer, self._limits)
 
     def run(self, progress: Callable[[float], None] | None = None) -> None:
-        """Raises FleetStartError."""
+        """Executes the run, and replays its observations. Raises FleetStartError."""
         arrivals = Arrivals(self._scenario, self._topology.shares, self._seed)
         deadlines = [traffic_class.deadline for traffic_class in self._settings.traffic_classes]
         try:
--- a/ashpath/emulator/loopback/senders.py
+++ b/ashpath/emulator/loopback/senders.py
@@ -1,5 +1,4 @@
-"""The sender processes of a run on loopback, each with a folder, a configuration file and a log of its
-own."""
+"""The sender processes of a run on loopback, each with its own folder, configuration file and log."""
 
 from __future__ import annotations
 
@@ -21,7 +20,7 @@
 
 
 class LoopbackSenders:
-    """`agents` are the addresses of each sender's service discovery."""
+    """The sender processes. `agents` are the addresses of service discovery, by sender."""
 
     def __init__(
         self,
@@ -55,7 +54,10 @@
         return tomli_w.dumps(rows)
 
     def start_all(self) -> None:
-        """Raises FleetStartError where one is not ready in time."""
+        """Starts all senders, and waits until they are ready.
+
+        Raises FleetStartError if a sender is not ready within `START_TIMEOUT_S`.
+        """
         for process in self._processes:
             process.start()
         until = monotonic() + START_TIMEOUT_S
@@ -65,14 +67,14 @@
             gevent.sleep(READINESS_POLL_S)
 
     def start(self, number: int) -> None:
-        """Starts one again after a kill."""
+        """Starts a sender again after a kill."""
         self._processes[number].start()
 
     def kill(self, number: int) -> None:
-        """Ends one without a graceful shutdown."""
+        """Kills a sender without a graceful shutdown."""
         self._processes[number].kill()
 
     def kill_all(self) -> None:
-        """Ends those that still run."""
+        """Kills the senders that still run."""
         for process in self._processes:
             process.kill()
--- a/tests/emulator/loopback/test_loopback_run.py
+++ b/tests/emulator/loopback/test_loopback_run.py
@@ -1,5 +1,5 @@
-"""Two short scenarios on sockets: senders in processes of their own, the same checks, nearly the same
-outcome."""
+"""Two short scenarios on loopback, with sender processes: the rules hold as in the simulation, and the result
+is within a tolerance of the simulation's."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ashpath.emulator.errors import UnsupportedFaultError
 from ashpath.emulator.runs import run_on_loopback, scenario_path, simulate
 
-# The scenario, what is replaced in it so that it takes some seconds, and how far G may be from the
-# simulation's.
+# The scenario, the texts to replace in it so that a run takes a few seconds, and the tolerance between its G
+# and the simulation's.
 SCENARIOS = [
     ("silent-bank", {'at = "12s"': 'at = "2s"', 'lasts = "12s"': 'lasts = "2s"'}, 0.08),
     ("kills", {'at = "12s"': 'at = "2s"', 'at = "20s"': 'at = "3500ms"', 'at = "28s"': 'at = "5s"'}, 0.05),
--- a/tests/emulator/loopback/test_replay.py
+++ b/tests/emulator/loopback/test_replay.py
@@ -1,5 +1,8 @@
-"""Kills between a sender's write and an answer, as the replay of a run makes them out; the cases:
-kills.txt."""
+"""The replay of a run on loopback attributes calls around the kill of a sender.
+
+Failure: a sender is killed after its write and before the response, so that two senders or incarnations may
+send one message, and permitted behaviour counts as a violation of the rule `lost`. The cases: kills.txt.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +45,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_replay_counts_lost_messages_around_kill(case: str) -> None:
+def test_replay_applies_lost_rule_around_sender_kill(case: str) -> None:
     id_, rows, lost = case.split(": ")
     path = scenario_path("kills")
     scenario = read_scenario(path)
