--- a/ashpath/emulator/demo/__init__.py
+++ b/ashpath/emulator/demo/__init__.py
@@ -1,5 +1,6 @@
-"""The demonstration: stand-in destinations and clients with one real sender between them, and an account of
-every message at the end.
+"""The demonstration: one real sender between simulated clients and destinations, and a summary of the final
+outcomes of all messages.
 
-`ashpath demo` runs it and prints what it reports; nothing else may call it, and nothing here prints.
+`ashpath demo` runs the demonstration and prints its tables and summary; no other module may use the package,
+and the package prints nothing itself.
 """
--- a/ashpath/emulator/demo/clients.py
+++ b/ashpath/emulator/demo/clients.py
@@ -1,5 +1,4 @@
-"""The clients of the demonstration: they submit messages, receive notices, and ask for what has no end
-yet."""
+"""The clients of the demonstration: they submit messages, receive notices, and poll open messages."""
 
 from __future__ import annotations
 
@@ -20,7 +19,7 @@
 from ashpath.server.limits import ServerLimits
 
 CLIENT_CONNECTIONS = 20
-RESPONSE_TIMEOUT_S = 2.0  # for an answer
+RESPONSE_TIMEOUT_S = 2.0
 IDEMPOTENT_CLASS = "check-status"
 DEDUPLICATED_CLASS = "check-result"
 DEADLINES_MS = {IDEMPOTENT_CLASS: b"8000", DEDUPLICATED_CLASS: b"10000"}
@@ -29,7 +28,7 @@
 
 
 class DemoClients:
-    """`open` has the messages without an end, and is emptied as they have it."""
+    """Clients of one sender. `open` has the messages without a final outcome, by id."""
 
     def __init__(
         self,
@@ -41,7 +40,7 @@
     ) -> None:
         self.open: dict[str, DemoDestination] = {}
         self.submitted = 0
-        self.deduplicated: set[str] = set()  # those whose second effect would be a double one
+        self.deduplicated: set[str] = set()  # messages for which a second effect is a duplicate
         self._destinations = destinations
         self._random = random
         self._rate = rate  # messages a second
@@ -51,11 +50,11 @@
         self.notice_address = self._receiver.address
 
     def stop(self) -> None:
-        """Receives no more notices."""
+        """Stops receiving notices."""
         self._receiver.stop()
 
     def submit_for(self, seconds: float) -> None:
-        """Arrivals of a Poisson process: each is submitted at its time, however the others fare."""
+        """Submits messages for `seconds`, as a Poisson process that does not wait for earlier messages."""
         at = monotonic()
         until = at + seconds
         number = 0
@@ -67,7 +66,7 @@
             gevent.spawn(self._submit, number, destination, self._random.choice(TRAFFIC_CLASSES))
 
     def _submit(self, number: int, destination: DemoDestination, traffic_class: str) -> None:
-        """One message; a client that cannot reach the sender gives up, as nothing was accepted."""
+        """Submits one message. A client without a response leaves the outcome to `poll_open_messages`."""
         message_id = f"demo-{number}"
         self.submitted += 1
         self.open[message_id] = destination
@@ -84,7 +83,7 @@
         try:
             response = self._client.request(b"POST %s HTTP/1.1" % wire_names.SUBMIT_PATH, headers, body)
         except RequestError:
-            return  # what became of it is asked for later
+            return  # `poll_open_messages` requests the state later
         if response.status in (200, 202):
             self._accepted.add(message_id)
         elif response.status in (429, 503):
@@ -93,7 +92,7 @@
             self._record_end(message_id, FinalOutcome.FAILED.value)
 
     def notified(self, notice: Notice) -> None:
-        """The sender could not deliver what it had accepted."""
+        """Handles the notice of a message that the sender accepted but could not deliver."""
         self._record_end(notice.message_id, notice.outcome.value)
 
     def _record_end(self, message_id: str, state: str) -> None:
@@ -102,7 +101,7 @@
             destination.ends[state] += 1
 
     def poll_open_messages(self) -> None:
-        """Asks for the state of those that have no end yet."""
+        """Requests the state of each open message from the sender."""
         for message_id in list(self.open):
             status, body = self._get(wire_names.MESSAGE_PATH_PREFIX + message_id.encode())
             if status == 404 and message_id not in self._accepted:
@@ -112,13 +111,13 @@
                 self._record_end(message_id, orjson.loads(body)["state"])
 
     def destination_states(self) -> dict[int, JsonObject]:
-        """The sender's own view of each destination, by number; none while it does not answer."""
+        """Returns the sender's state of each destination, by number; empty if the sender does not respond."""
         status, body = self._get(wire_names.DESTINATIONS_PATH)
         rows = orjson.loads(body)["destinations"] if status == 200 else []
         return {row["number"]: row for row in rows}
 
     def _get(self, path: bytes) -> tuple[int, bytes]:
-        """Status and body; 0 where no answer came."""
+        """Returns status and body of the response; the status is 0 if no response came."""
         try:
             response = self._client.request(b"GET %s HTTP/1.1" % path)
         except RequestError:
--- a/ashpath/emulator/demo/destinations.py
+++ b/ashpath/emulator/demo/destinations.py
@@ -1,4 +1,4 @@
-"""The destinations of the demonstration. Their figures are made up so that each shows its fault."""
+"""The destinations of the demonstration, whose figures are set so that each shows its fault."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from ashpath.emulator.units import SECOND
 from ashpath.server.limits import ServerLimits
 
-SLOW_START_SHARE = 1 / 4  # of the time of arrivals
+SLOW_START_SHARE = 1 / 4  # share of the time of arrivals
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationPlan:
-    """What a destination is to be."""
+    """The properties of a destination."""
 
     name: str
     traffic_share: float
@@ -28,7 +28,7 @@
 
 @dataclass(eq=False)
 class DemoDestination:
-    """One destination, and the ends of its messages."""
+    """One destination, and the counts of its messages by final outcome."""
 
     number: int
     name: str
@@ -39,7 +39,7 @@
 
 
 def plan_destinations(seconds: float) -> list[DestinationPlan]:
-    """A bank with a rate limit, a slow letting office, and a landlord app that recovers slowly."""
+    """Plans a bank with a rate limit, a slow letting office, and a landlord app that recovers slowly."""
     limited = DestinationProperties(
         workers=16,
         shares_workers=True,
@@ -62,7 +62,7 @@
 def start_destination(
     number: int, plan: DestinationPlan, random: Random, limits: ServerLimits, clock: RunClock
 ) -> DemoDestination:
-    """Draws the destination's own seed, and listens at its endpoints."""
+    """Draws the seed of the destination, and starts a server for each of its endpoints."""
     endpoints = [f"{plan.name}-{at}" for at in range(plan.endpoints)]
     model = DestinationModel(plan.properties, Random(random.getrandbits(32)), endpoints)
     servers = [DestinationServer(model, endpoint, limits, clock) for endpoint in endpoints]
--- a/ashpath/emulator/demo/run.py
+++ b/ashpath/emulator/demo/run.py
@@ -1,4 +1,4 @@
-"""One run of the demonstration, from the sender's start to the account of every message."""
+"""One run of the demonstration, from the start of the sender to the summary of all messages."""
 
 from __future__ import annotations
 
@@ -23,41 +23,41 @@
 from ashpath.emulator.units import SECOND
 
 RATE = 40.0  # messages a second
-FINAL_WAIT_S = 14.0  # after the last message, by which each must have its end: over the longest deadline
+FINAL_WAIT_S = 14.0  # after the last message, for final outcomes; longer than the longest deadline
 DESCRIPTORS = 4096
 REQUEST_TIMEOUT_S = 60.0
 START_TIMEOUT_S = 15.0
-OUTAGE_BEGINS = 3 / 10  # of the time of arrivals
-OUTAGE_ENDS = 11 / 20
+OUTAGE_BEGINS = 3 / 10  # share of the time of arrivals
+OUTAGE_ENDS = 11 / 20  # share of the time of arrivals
 TABLE_INTERVAL_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """The account of a run: every message has one of the ends, or is unaccounted for."""
+    """The summary of a run: each message has one final outcome, or is unaccounted for."""
 
     submitted: int
     ends: Counter[str]
-    """By the names of the status API."""
+    """Counts of final outcomes, by the state names of the status API."""
     attempts: int
     duplicates: int
     unaccounted: list[str]
 
     @property
     def is_consistent(self) -> bool:
-        """Whether every message has one end, and none was doubled."""
+        """Whether each message has one final outcome, and none was duplicated."""
         return not self.unaccounted and not self.duplicates and self.submitted == sum(self.ends.values())
 
 
 class TableDisplay(Protocol):
-    """Whoever shows the table."""
+    """A function that displays the table of destinations."""
 
     def __call__(self, elapsed_s: float, rows: list[JsonObject], /) -> None:
-        """The state after so many seconds: a row for each destination."""
+        """Displays the state after `elapsed_s`; `rows` has a row for each destination."""
 
 
 class Demo:
-    """One run; it listens from its making to `stop`."""
+    """One run. Destination servers and the notice receiver listen from construction until `stop`."""
 
     def __init__(
         self, folder: Path, seconds: float, seed: int, rate: float = RATE, *, kill: bool = False
@@ -81,7 +81,7 @@
         self._sender = SenderProcess(self.file, folder / "log", address, limits)
 
     def run(self, display: TableDisplay, interval_s: float = TABLE_INTERVAL_S) -> Summary:
-        """Plays the demonstration. Raises SenderStartError."""
+        """Runs the demonstration, and returns its summary. Raises SenderStartError."""
         self._start_sender()
         self._schedule_outage()
         submitting = gevent.spawn(self.clients.submit_for, self.seconds)
@@ -98,7 +98,7 @@
         return self._summary()
 
     def stop(self) -> None:
-        """Stops the sender and all that stands in."""
+        """Stops the sender, the clients and the destination servers."""
         self._sender.stop()
         self.clients.stop()
         for destination in self.destinations:
@@ -110,20 +110,20 @@
         self._sender.wait_until_ready(START_TIMEOUT_S)
 
     def _restart_sender(self) -> None:
-        """Killed without a graceful shutdown, and started again on its write-ahead log."""
+        """Kills the sender without a graceful shutdown, and starts it again on its write-ahead log."""
         self._sender.kill()
         self.restarts += 1
         self._start_sender()
 
     def _schedule_outage(self) -> None:
-        """The last destination goes silent for a quarter of the time of arrivals, and begins a slow start."""
+        """Makes the last destination silent for a quarter of the time of arrivals, before a slow start."""
         model = self.destinations[-1].model
         recovers_at = self._clock.now() + round(self.seconds * SECOND * OUTAGE_ENDS)
         gevent.spawn_later(self.seconds * OUTAGE_BEGINS, model.add_fault, Fault.SILENT, 1.0)
         gevent.spawn_later(self.seconds * OUTAGE_ENDS, model.remove_fault, Fault.SILENT, 1.0, recovers_at)
 
     def table(self) -> list[JsonObject]:
-        """A row for each destination, as it stands; the keys are the table's headings."""
+        """Returns the current row of each destination; the keys are the table's headings."""
         states = self.clients.destination_states()
         return [
             self._row(destination, states.get(destination.number, {})) for destination in self.destinations
--- a/ashpath/emulator/demo/sender_file.py
+++ b/ashpath/emulator/demo/sender_file.py
@@ -1,4 +1,4 @@
-"""The configuration file of the demonstration's sender, as a user would write it."""
+"""The configuration file of the demonstration's sender, in the form that a user writes."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 def sender_file(
     listen: str, notices: str, seed: int, seconds: float, destinations: Iterable[DemoDestination]
 ) -> str:
-    """The text of the file; `listen` and `notices` are HOST:PORT."""
+    """Returns the text of the file; `listen` and `notices` have the form HOST:PORT."""
     ramp_ms = round(seconds * 1000 * SLOW_START_SHARE)
     text = SENDER.format(ramp=ramp_ms, listen=listen, seed=seed, notices=notices)
     for destination in destinations:
