--- a/ashpath/emulator/fault_injection/discovery_agent.py
+++ b/ashpath/emulator/fault_injection/discovery_agent.py
@@ -9,8 +9,8 @@
 | CLOSE | an orderly close of the connection |
 | UNREADABLE | 200 with a truncated list |
 
-Each poll takes the next reply from `script`, or `default_reply` once the script is empty. Notices are accepted
-at any time, also while polls fail.
+Each poll takes the next reply from `script`, or `default_reply` once the script is empty. Notices are
+accepted at any time, also while polls fail.
 """
 
 from __future__ import annotations
