--- a/ashpath/emulator/fault_injection/tcp_proxy.py
+++ b/ashpath/emulator/fault_injection/tcp_proxy.py
@@ -1,16 +1,17 @@
-"""A TCP proxy that does what networks do: it forwards each connection, or fails it by the mode of the moment.
+"""A TCP proxy that simulates network faults: it forwards each connection, or fails it by the current mode.
 
-| mode | what a connection meets |
+| mode | what a connection receives |
 | --- | --- |
-| FORWARD | the target |
-| LATE | the target, after `late_s` without a byte |
+| FORWARD | the bytes of the target |
+| LATE | the bytes of the target, after `late_s` without a byte |
 | RESET | a reset as soon as it is accepted |
-| RESET_AFTER_BYTE | a reset behind the first bytes that the caller sent |
-| SILENT | nothing: what the caller sends is read and dropped |
-| HALF_RESPONSE | the first half of what the target answers first, and then nothing |
+| RESET_AFTER_BYTE | a reset after the first byte that the caller sends |
+| SILENT | no byte; the bytes that the caller sends are read and dropped |
+| HALF_RESPONSE | the first half of the bytes that the target sends first, and no further byte |
 
-A connection keeps the mode that it was accepted under. `forget` ends what is open: the caller's side is
-reset, and the target's is closed. `FullBacklog` is an address at which no dial ends.
+A connection keeps the mode under which it was accepted. `reset_connections` ends the open connections: the
+caller's side is reset, and the target's side is closed. `FullBacklog` is an address at which connection
+attempts neither succeed nor fail.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ashpath.emulator.fault_injection.discovery_agent import reset
+from ashpath.emulator.fault_injection.discovery_agent import reset_connection
 from ashpath.emulator.stand_ins import LOOPBACK
 
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 SILENCE_S = 60.0
-FILLING_CONNECTIONS = 4  # more than a backlog of 0 takes
+FILLING_CONNECTIONS = 4  # more than a backlog of 0 accepts
 
 
 class ProxyMode(Enum):
@@ -42,28 +43,28 @@
 
 
 class FaultProxy:
-    """Listens from its making to `stop`."""
+    """Listens from construction until `stop`."""
 
     def __init__(self, target: tuple[str, int], late_s: float = 1.0) -> None:
         self.target = target
         self.late_s = late_s
         self.mode = ProxyMode.FORWARD
         self.accepted: dict[ProxyMode, int] = dict.fromkeys(ProxyMode, 0)
-        self._open: dict[socket.socket, socket.socket | None] = {}  # by the caller's end, the target's
+        self._open: dict[socket.socket, socket.socket | None] = {}  # the target's socket by the caller's
         self._server = StreamServer((LOOPBACK, 0), self._serve)
         self._server.start()
         self.address = f"{LOOPBACK}:{self._server.server_port}"
 
     def stop(self) -> None:
-        """Closes the listening socket, and resets what is open."""
+        """Closes the listening socket, and resets the open connections."""
         self._server.stop(timeout=0)
-        self.forget()
+        self.reset_connections()
 
-    def forget(self) -> None:
+    def reset_connections(self) -> None:
         """Resets all open connections."""
         for caller, target in list(self._open.items()):
-            with suppress(OSError):  # it has just been closed
-                reset(caller)
+            with suppress(OSError):  # the socket may have just been closed
+                reset_connection(caller)
             if target is not None:
                 target.close()
         self._open.clear()
@@ -73,21 +74,21 @@
         self.accepted[mode] += 1
         self._open[caller] = None
         try:
-            self._carry(caller, mode)
+            self._handle(caller, mode)
         except OSError:
             pass
         finally:
             self._open.pop(caller, None)
             caller.close()
 
-    def _carry(self, caller: socket.socket, mode: ProxyMode) -> None:
+    def _handle(self, caller: socket.socket, mode: ProxyMode) -> None:
         if mode is ProxyMode.RESET:
-            reset(caller)
+            reset_connection(caller)
         elif mode is ProxyMode.RESET_AFTER_BYTE:
             caller.recv(1)
-            reset(caller)
+            reset_connection(caller)
         elif mode is ProxyMode.SILENT:
-            while caller.recv(PIECE_BYTES):
+            while caller.recv(CHUNK_BYTES):
                 pass
         else:
             if mode is ProxyMode.LATE:
@@ -100,8 +101,8 @@
         requests = gevent.spawn(copy, caller, target)
         try:
             if half:
-                piece = target.recv(PIECE_BYTES)
-                caller.sendall(piece[: len(piece) // 2])
+                chunk = target.recv(CHUNK_BYTES)
+                caller.sendall(chunk[: len(chunk) // 2])
                 gevent.sleep(SILENCE_S)
             copy(target, caller)
         finally:
@@ -110,15 +111,15 @@
 
 
 def copy(source: socket.socket, sink: socket.socket) -> None:
-    """Carries bytes until either side ends."""
+    """Copies bytes until either side closes its connection."""
     with suppress(OSError):
-        while piece := source.recv(PIECE_BYTES):
-            sink.sendall(piece)
+        while chunk := source.recv(CHUNK_BYTES):
+            sink.sendall(chunk)
         sink.shutdown(socket.SHUT_WR)
 
 
 class FullBacklog:
-    """An address where dials neither succeed nor fail: its queue is full, and nobody accepts."""
+    """An address where connection attempts neither succeed nor fail, because the backlog is full."""
 
     def __init__(self) -> None:
         self._socket = socket.socket()
@@ -134,6 +135,6 @@
             self._filling.append(filler)
 
     def stop(self) -> None:
-        """Closes all of it."""
+        """Closes the listening socket and the connections that fill its backlog."""
         for sock in (*self._filling, self._socket):
             sock.close()
--- a/ashpath/emulator/soak/judge.py
+++ b/ashpath/emulator/soak/judge.py
@@ -1,16 +1,16 @@
-"""Names each rule that a day broke, from its records alone, with the slack of the rules' pages.
+"""Reports each rule that a run broke, from its records alone, with the tolerances of the documented rules.
 
 | rule | broken by |
 | --- | --- |
-| lost | an accepted message without its end 0.3 s after its deadline; a request without any answer |
-| doubled | a call of a message that may have run, and may not run again, or not so late; two calls at once |
-| drain | a call to an endpoint later than the grace after its departure counts as received |
-| returning | more calls at a destination just back than its budget |
-| order | a call for a key while an earlier message of that key, accepted before, has no end |
-| wait | a call at a destination before the Retry-After that the sender received there is over |
-| crash | a process that ended by itself, or was not ready in time |
-
-Nothing is overdue from the end of an incarnation until 1.5 s after the next one is ready.
+| lost | an accepted message without a final outcome 0.3 s after its deadline; a request without a response |
+| doubled | a call of a message that may have run already, against its class or window; two concurrent calls |
+| drain | a call to an endpoint after the drain grace, which starts when its departure counts as received |
+| returning | more calls to a recovering destination than its budget |
+| order | a call for a key while a message of that key that was accepted earlier has no final outcome |
+| wait | a call to a destination before the Retry-After that the sender received from it has passed |
+| crash | a process that ended unexpectedly, or was not ready in time |
+
+No message is overdue from the end of an incarnation until 1.5 s after the next incarnation is ready.
 """
 
 from __future__ import annotations
@@ -22,164 +22,174 @@
 
 from msgspec import Struct
 
-from ashpath.emulator.soak.records import Call, DayRecords, Effect, Incarnation, Reply, Submission
+from ashpath.emulator.soak.records import Call, Effect, Incarnation, Reply, SoakRecords, Submission
 
 END_SLACK_S = 0.3
 RESTART_SLACK_S = 1.5
 NOTICE_RETRY_S = 0.4
-READY_S = 10.0
-LATE_DRAIN_SLACK_S = 0.2  # a sender may be held up between its clock and the write, and lines take a moment
+READY_TIMEOUT_S = 10.0
+LATE_DRAIN_SLACK_S = 0.2  # covers delays between the sender's clock reading, its write and the network
 RETRY_AFTER_SLACK_S = 0.15
-NEW_CONNECTION_ALLOWED_S = 0.3  # before SIGTERM's effect is known, a crossing is nobody's fault
-REQUEST_CROSSING_S = 0.5  # around the end of an incarnation, connections are reset
-SMALL_BUDGET = 30
+NEW_CONNECTION_ALLOWED_S = 0.3  # a connection that crosses SIGTERM within this time breaks no rule
+SHUTDOWN_MARGIN_S = 0.5  # connections may be reset within this time before an incarnation ends
+SMALL_BUDGET_CALLS = 30  # a smaller budget gets a wider statistical tolerance
 
 
-class JudgeSettings(Struct, frozen=True):
-    """Of the day's settings, in seconds and calls a second."""
+class RuleCheckerSettings(Struct, frozen=True):
+    """The settings of the run that the rules depend on, in seconds and calls per second."""
 
     grace_s: float
     window_s: float
     overload_s: float
     cold_rate: float
-    """What a destination takes just after an outage."""
+    """The call rate that a destination sustains directly after an outage."""
     overload_multiple: float
 
 
 class BrokenRule(Struct, frozen=True):
-    """One finding, in one line."""
+    """One violation of a rule, described in one line."""
 
     rule: str
-    what: str
+    description: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.what}"
+        return f"{self.rule}: {self.description}"
 
 
-class Judge:
-    """Judges one day."""
+class RuleChecker:
+    """Checks the records of one run."""
 
-    def __init__(self, records: DayRecords, settings: JudgeSettings) -> None:
+    def __init__(self, records: SoakRecords, settings: RuleCheckerSettings) -> None:
         self.records = records
         self.settings = settings
-        self.calls_of: dict[str, list[Call]] = defaultdict(list)
+        self.calls_by_message: dict[str, list[Call]] = defaultdict(list)
         for call in sorted(records.calls, key=lambda call: call.begun_at):
-            self.calls_of[call.message_id].append(call)
+            self.calls_by_message[call.message_id].append(call)
 
     def broken_rules(self) -> list[BrokenRule]:
-        """All of them; none where the day was good."""
+        """Returns all violations."""
         checks = (
             self.crashes,
             self.lost_messages,
             self.unanswered_requests,
             self.doubled_calls,
-            self.calls_to_departed,
-            self.overloaded_returns,
+            self.calls_to_departed_endpoints,
+            self.overloaded_recoveries,
             self.calls_out_of_order,
             self.calls_before_retry_after,
         )
         return [broken for check in checks for broken in check()]
 
     def crashes(self) -> Iterator[BrokenRule]:
-        """Processes that ended by themselves or came up late."""
+        """Yields processes that ended unexpectedly or were not ready in time."""
         for crash in self.records.crashes:
             yield BrokenRule("crash", crash)
         for incarnation in self.records.incarnations:
-            late = not incarnation.ready_at or incarnation.ready_at - incarnation.started_at > READY_S
-            if late and incarnation.end_began_at - incarnation.started_at > READY_S:
-                yield BrokenRule("crash", f"sender {incarnation.sender} not ready in {READY_S:.0f} s")
+            late = not incarnation.ready_at or incarnation.ready_at - incarnation.started_at > READY_TIMEOUT_S
+            if late and incarnation.end_began_at - incarnation.started_at > READY_TIMEOUT_S:
+                yield BrokenRule("crash", f"sender {incarnation.sender} not ready in {READY_TIMEOUT_S:.0f} s")
 
     def lost_messages(self) -> Iterator[BrokenRule]:
-        """Accepted, and without an end when one was due."""
-        for one in self.records.submissions.values():
-            if one.status not in (200, 202):
+        """Yields accepted messages without a final outcome at the due time."""
+        for submission in self.records.submissions.values():
+            if submission.status not in (200, 202):
                 continue
-            due = self.due_at(one)
+            due = self.due_at(submission)
             if due > self.records.ended_at:
                 continue
-            ended = self.end_of(one)
+            ended = self.outcome_time(submission)
             if ended is None or ended > due:
-                when = "never" if ended is None else f"{ended - due:.2f} s late"
-                yield BrokenRule("lost", f"{one.message_id} at sender {one.sender}: its end came {when}")
+                when = "missing" if ended is None else f"{ended - due:.2f} s late"
+                yield BrokenRule(
+                    "lost", f"{submission.message_id} at sender {submission.sender}: final outcome {when}"
+                )
 
-    def due_at(self, one: Submission) -> float:
-        """When its end is overdue."""
-        due = one.deadline_at + END_SLACK_S
-        for incarnation, following in self.incarnations(one.sender):
+    def due_at(self, submission: Submission) -> float:
+        """Returns the latest time at which the message must have a final outcome."""
+        due = submission.deadline_at + END_SLACK_S
+        for incarnation, following in self.incarnations(submission.sender):
             if incarnation.end_began_at <= due:
                 ready_at = following.ready_at if following is not None else 0.0
                 due = max(due, (ready_at or 1e18) + RESTART_SLACK_S + END_SLACK_S)
         for fault in sorted(self.records.network_faults, key=lambda fault: fault.began_at):
-            # Who cannot dial cannot notify: the next try follows the end of the fault.
-            if fault.sender == one.sender and fault.began_at <= due <= fault.ended_at + NOTICE_RETRY_S:
+            # A sender that cannot connect cannot notify: its next attempt follows the end of the fault.
+            if fault.sender == submission.sender and fault.began_at <= due <= fault.ended_at + NOTICE_RETRY_S:
                 due = fault.ended_at + NOTICE_RETRY_S
         return due
 
     def incarnations(self, sender: int) -> Iterator[tuple[Incarnation, Incarnation | None]]:
-        """Each incarnation of a sender, and the one that followed it."""
+        """Yields each incarnation of a sender with the next one, or None for the last."""
         incarnations = [
             incarnation for incarnation in self.records.incarnations if incarnation.sender == sender
         ]
         for number, incarnation in enumerate(incarnations):
             yield incarnation, incarnations[number + 1] if number + 1 < len(incarnations) else None
 
-    def end_of(self, one: Submission) -> float | None:
-        """When it was delivered, or its end notified."""
-        ends = [call.ended_at for call in self.calls_of[one.message_id] if call.reply is Reply.DELIVERED]
-        if one.message_id in self.records.notices:
-            ends.append(self.records.notices[one.message_id])
+    def outcome_time(self, submission: Submission) -> float | None:
+        """Returns when the message was delivered or its outcome was notified; None if neither happened."""
+        ends = [
+            call.ended_at
+            for call in self.calls_by_message[submission.message_id]
+            if call.reply is Reply.DELIVERED
+        ]
+        if submission.message_id in self.records.notices:
+            ends.append(self.records.notices[submission.message_id])
         return min(ends, default=None)
 
     def unanswered_requests(self) -> Iterator[BrokenRule]:
-        """Read on a new connection, and ended without an answer though the process lived."""
-        for one in self.records.submissions.values():
-            if not (one.closed_unanswered and one.written and one.connection_is_new):
+        """Yields requests on new connections that a running process closed without a response."""
+        for submission in self.records.submissions.values():
+            if not (submission.closed_unanswered and submission.written and submission.connection_is_new):
                 continue
-            if not self.crosses_an_end(one):
-                yield BrokenRule("lost", f"request {one.message_id} at sender {one.sender}: no answer")
+            if not self.overlaps_shutdown(submission):
+                yield BrokenRule(
+                    "lost", f"request {submission.message_id} at sender {submission.sender}: no response"
+                )
 
-    def crosses_an_end(self, one: Submission) -> bool:
-        """Whether a process ended, or was not there, as the request was out."""
+    def overlaps_shutdown(self, submission: Submission) -> bool:
+        """Whether the sender's process ended, or was not ready, while the request was in flight."""
         return not any(
-            incarnation.sender == one.sender
+            incarnation.sender == submission.sender
             and incarnation.ready_at
-            and incarnation.ready_at <= one.sent_at
-            and one.answered_at < incarnation.end_began_at - REQUEST_CROSSING_S
+            and incarnation.ready_at <= submission.sent_at
+            and submission.answered_at < incarnation.end_began_at - SHUTDOWN_MARGIN_S
             for incarnation in self.records.incarnations
         )
 
     def doubled_calls(self) -> Iterator[BrokenRule]:
-        """What may not run again, and did."""
-        for message_id, calls in self.calls_of.items():
+        """Yields repeated calls that the traffic class forbids, and concurrent calls of one message."""
+        for message_id, calls in self.calls_by_message.items():
             submission = self.records.submissions.get(message_id)
             if submission is None:
-                yield BrokenRule("doubled", f"a call of {message_id}, which nobody submitted")
+                yield BrokenRule("doubled", f"call of {message_id}, which no client submitted")
                 continue
             for earlier, later in pairwise(calls):
-                out = not earlier.ended_at or earlier.ended_at > later.begun_at + LATE_DRAIN_SLACK_S
-                if out and not self.ended_between(earlier, later):
-                    yield BrokenRule("doubled", f"two calls of {message_id} at once")
-            ran = next((call for call in calls if call.reply.may_have_run), None)
-            if ran is None or submission.effect is Effect.REPEATABLE:
+                is_in_flight = not earlier.ended_at or earlier.ended_at > later.begun_at + LATE_DRAIN_SLACK_S
+                if is_in_flight and not self.was_killed_between(earlier, later):
+                    yield BrokenRule("doubled", f"two concurrent calls of {message_id}")
+            first_run = next((call for call in calls if call.reply.may_have_run), None)
+            if first_run is None or submission.effect is Effect.REPEATABLE:
                 continue
-            for call in calls[calls.index(ran) + 1 :]:
-                too_late = call.begun_at - ran.begun_at > self.settings.window_s
+            for call in calls[calls.index(first_run) + 1 :]:
+                too_late = call.begun_at - first_run.begun_at > self.settings.window_s
                 if submission.effect is Effect.AT_MOST_ONCE or too_late:
                     yield BrokenRule("doubled", f"{message_id} ({submission.effect.value}) called again")
 
-    def ended_between(self, earlier: Call, later: Call) -> bool:
-        """Whether the sender's process ended, and its connections with it."""
+    def was_killed_between(self, earlier: Call, later: Call) -> bool:
+        """Whether the sender's process was killed between two calls, which closes its connections."""
         return any(
             incarnation.sender == earlier.sender
             and earlier.begun_at <= incarnation.killed_at <= later.begun_at
             for incarnation in self.records.incarnations
         )
 
-    def calls_to_departed(self) -> Iterator[BrokenRule]:
-        """Calls later than the grace after a departure counts as received."""
+    def calls_to_departed_endpoints(self) -> Iterator[BrokenRule]:
+        """Yields calls to an endpoint after the drain grace of its departure."""
         allowed_until = {
-            (one.sender, one.endpoint_id): one.received_by + self.settings.grace_s + LATE_DRAIN_SLACK_S
-            for one in self.records.departures
+            (departure.sender, departure.endpoint_id): departure.received_by
+            + self.settings.grace_s
+            + LATE_DRAIN_SLACK_S
+            for departure in self.records.departures
         }
         for call in self.records.calls:
             until = allowed_until.get((call.sender, call.endpoint_id))
@@ -189,10 +199,10 @@
                     "drain", f"sender {call.sender} called {call.endpoint_id} {late_s:.2f} s late"
                 )
 
-    def overloaded_returns(self) -> Iterator[BrokenRule]:
-        """More calls than the budget, in the first window behind an outage."""
+    def overloaded_recoveries(self) -> Iterator[BrokenRule]:
+        """Yields destinations with more calls than their budget in the first `overload_s` after an outage."""
         budget = self.settings.cold_rate * self.settings.overload_multiple * self.settings.overload_s
-        factor = 3 if budget < SMALL_BUDGET else 2
+        factor = 3 if budget < SMALL_BUDGET_CALLS else 2
         allowed = budget + factor * sqrt(budget) + factor
         for outage in self.records.outages:
             window_end = outage.ended_at + self.settings.overload_s
@@ -202,34 +212,38 @@
                 if call.destination == outage.destination and outage.ended_at <= call.begun_at < window_end
             ]
             if len(calls) > allowed:
-                what = f"{len(calls)} calls of {allowed:.1f} at destination {outage.destination}"
-                yield BrokenRule("returning", what)
+                description = (
+                    f"{len(calls)} calls, {allowed:.1f} allowed, to destination {outage.destination}"
+                )
+                yield BrokenRule("returning", description)
 
     def calls_out_of_order(self) -> Iterator[BrokenRule]:
-        """A later message of a key is called while an earlier one is not over."""
+        """Yields calls of a message while an earlier message of the same key has no final outcome."""
         queues: dict[tuple[int, str], list[Submission]] = defaultdict(list)
-        for one in self.records.submissions.values():
-            if one.ordering_key and one.status in (200, 202):
-                queues[one.sender, one.ordering_key].append(one)
+        for submission in self.records.submissions.values():
+            if submission.ordering_key and submission.status in (200, 202):
+                queues[submission.sender, submission.ordering_key].append(submission)
         for queue in queues.values():
-            queue.sort(key=lambda one: one.answered_at)
-            yield from self.out_of_order(queue)
+            queue.sort(key=lambda submission: submission.answered_at)
+            yield from self.calls_out_of_order_in_queue(queue)
 
-    def out_of_order(self, queue: Sequence[Submission]) -> Iterator[BrokenRule]:
-        """Within one key."""
+    def calls_out_of_order_in_queue(self, queue: Sequence[Submission]) -> Iterator[BrokenRule]:
+        """Yields the calls out of order within the queue of one key."""
         for number, later in enumerate(queue):
-            first_call = next(iter(self.calls_of[later.message_id]), None)
+            first_call = next(iter(self.calls_by_message[later.message_id]), None)
             if first_call is None:
                 continue
             for earlier in queue[:number]:
                 if earlier.answered_at >= later.sent_at:
-                    continue  # both were on their way at once: no order was asked for
-                ended = self.end_of(earlier)
+                    continue  # the client submitted both concurrently, which requests no order
+                ended = self.outcome_time(earlier)
                 if ended is None or ended > first_call.begun_at:
-                    yield BrokenRule("order", f"{later.message_id} before the end of {earlier.message_id}")
+                    yield BrokenRule(
+                        "order", f"{later.message_id} called before the outcome of {earlier.message_id}"
+                    )
 
     def calls_before_retry_after(self) -> Iterator[BrokenRule]:
-        """By sender and destination; a restart ends the wait."""
+        """Yields calls before the Retry-After of the same sender and destination; a restart ends the wait."""
         for refused in self.records.calls:
             if not refused.retry_after_s:
                 continue
@@ -237,5 +251,7 @@
             for call in self.records.calls:
                 same = call.sender == refused.sender and call.destination == refused.destination
                 early = refused.ended_at + RETRY_AFTER_SLACK_S < call.begun_at < until - RETRY_AFTER_SLACK_S
-                if same and early and not self.ended_between(refused, call):
-                    yield BrokenRule("wait", f"sender {call.sender} at destination {call.destination}")
+                if same and early and not self.was_killed_between(refused, call):
+                    yield BrokenRule(
+                        "wait", f"sender {call.sender} called destination {call.destination} too early"
+                    )
