--- a/ashpath/cli/standalone.py
+++ b/ashpath/cli/standalone.py
@@ -19,7 +19,7 @@
 from ashpath.server.errors import StartupError
 from ashpath.server.logs import LogFormat, Logger, create_logger
 from ashpath.server.runtime import SenderRuntime
-from ashpath.server.sender import Sender, SenderPlace
+from ashpath.server.sender import ProcessOptions, Sender
 from ashpath.server.storage.errors import StateDirectoryError
 from ashpath.server.storage.state_directory import StateDirectory
 from ashpath.server.wiring import create_sender
@@ -68,10 +68,10 @@
     configuration: FileConfiguration, state_directory: StateDirectory, logger: Logger
 ) -> Sender:
     """Returns a sender that does not run yet. Raises `StateDirectoryError`."""
-    place = SenderPlace(configuration.file.sender.listen, configuration.state_directory)
+    process_options = ProcessOptions(configuration.file.sender.listen, configuration.state_directory)
     deployment = StandaloneDeployment(configuration, state_directory)
     try:
-        sender = create_sender(place, configuration.sender, deployment, logger)
+        sender = create_sender(process_options, configuration.sender, deployment, logger)
     except StartupError as error:
         raise StateDirectoryError.of_file(configuration.path, error) from error
     except (OSError, ValueError) as error:
--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -177,7 +177,7 @@
         applied = find_changes(self.latest_configuration, configuration.file).applied
         waiting = find_changes(self.startup_configuration, configuration.file).at_next_start
         self.latest_configuration = configuration.file
-        self.log_format.use(configuration.file.logging.level, configuration.file.logging.form)
+        self.log_format.configure(configuration.file.logging.level, configuration.file.logging.form)
         self.sender.logger.info(
             "configuration read", taken=truncate_keys(applied), needs_restart=truncate_keys(waiting)
         )
--- a/ashpath/emulator/stand_ins.py
+++ b/ashpath/emulator/stand_ins.py
@@ -20,7 +20,7 @@
     """Limits of stand-ins: they wait for a request, idle or half sent, as long as this."""
     settings = policy_settings(0, {"classes": [], "limits": {"conn-idle": IDLE_CONNECTIONS_MS}})
     own = {"client_idle_s": timeout_s, "request_s": timeout_s}
-    return ServerLimits.of({"sockets": descriptors, "own": own}, settings)
+    return ServerLimits.from_configuration({"sockets": descriptors, "own": own}, settings)
 
 
 def free_port() -> int:
--- a/ashpath/server/addresses.py
+++ b/ashpath/server/addresses.py
@@ -7,8 +7,8 @@
 Address = tuple[str, int]
 """Host and port."""
 
-LARGEST_PORT = 65535
-PORT_DIGITS = 5
+MAX_PORT = 65535
+MAX_PORT_DIGITS = 5
 
 
 def parse_address(text: str) -> Address:
@@ -18,7 +18,7 @@
     ('10.1.0.18', 7070)
     """
     host, _, port = text.rpartition(":")
-    is_number = port.isascii() and port.isdigit() and len(port) <= PORT_DIGITS
-    if not host or not is_number or int(port) > LARGEST_PORT:
+    is_number = port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
+    if not host or not is_number or int(port) > MAX_PORT:
         raise InvalidAddressError(text)
     return host, int(port)
--- a/ashpath/server/backoff.py
+++ b/ashpath/server/backoff.py
@@ -40,7 +40,7 @@
         self.min_s = min_s
         self.max_s = max_s
         self.max_retry_after_s = max_retry_after_s
-        self.max_heeded_s = max_retry_after_s * 2 / 3  # of a Retry-After
+        self.max_honored_retry_after_s = max_retry_after_s * 2 / 3  # of a Retry-After
         self.jitter = jitter
         self.failures = 0  # in a row
 
@@ -50,7 +50,7 @@
         longest = min(self.max_s, self.min_s * 2.0 ** (self.failures - 1))
         pause = longest * (1 - self.jitter * (1 - self.random.random()))
         if retry_after_s:
-            shortest = min(retry_after_s, self.max_heeded_s)
+            shortest = min(retry_after_s, self.max_honored_retry_after_s)
             drawn = shortest + (self.max_retry_after_s - shortest) * self.random.random()
             pause = max(pause, drawn)
         return pause
--- a/ashpath/server/configuration.py
+++ b/ashpath/server/configuration.py
@@ -99,7 +99,7 @@
         """
         seed = int(str(document["seed"]), 16)
         settings = SenderSettings.parse(seed, document["settings"])
-        limits = ServerLimits.of(document.get("limits") or {}, settings.policy_settings)
+        limits = ServerLimits.from_configuration(document.get("limits") or {}, settings.policy_settings)
         known_endpoints = document.get("known") or {"members": [], "revision": 0}
         discovery = document.get("discovery") or default_discovery
         platform_address = parse_address(discovery) if discovery else None
--- a/ashpath/server/limits.py
+++ b/ashpath/server/limits.py
@@ -32,7 +32,7 @@
 )
 DISK_BYTES_PER_MB = 970_000  # a megabyte may be a million bytes, and a file system has overhead
 IDLE_MARGIN_S = 0.2  # an idle connection is closed so long before the far end does
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6  # in a second
 
 
 class ServerLimits(Struct, frozen=True):
@@ -173,20 +173,20 @@
     """Of operators at once; for a further one another is evicted."""
 
     @classmethod
-    def of(cls, configured: dict[str, Any], settings: PolicySettings) -> ServerLimits:
+    def from_configuration(cls, configured: dict[str, Any], settings: PolicySettings) -> ServerLimits:
         """From the `limits` of the platform's file, and from the settings of the policy."""
         descriptors = max(MIN_DESCRIPTORS, int(configured.get("sockets") or DEFAULT_DESCRIPTORS))
         free = descriptors - RESERVED_DESCRIPTORS
         numerator, denominator = MAX_ENDPOINT_SHARE
         wanted = max(MIN_ENDPOINT_CONNECTIONS, CONNECTIONS_PER_ATTEMPT * settings.max_in_flight)
         endpoint_connections = min(wanted, free * numerator // denominator)
-        idle_timeout_s = (settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_US) / MICROSECONDS
+        idle_timeout_s = (settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_US) / MICROSECONDS_PER_SECOND
         limits = cls(
             client_connections=free - endpoint_connections,
             idle_client_connections=descriptors // IDLE_CLIENT_SHARE,
             endpoint_connections=endpoint_connections,
             disk_bytes=int(float(configured.get("disk_mb") or DEFAULT_DISK_MB) * DISK_BYTES_PER_MB),
             endpoint_idle_s=max(idle_timeout_s - IDLE_MARGIN_S, idle_timeout_s / 2),
-            connect_s=(settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US) / MICROSECONDS,
+            connect_s=(settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US) / MICROSECONDS_PER_SECOND,
         )
         return replace(limits, **(configured.get("own") or {}))
--- a/ashpath/server/local_errors.py
+++ b/ashpath/server/local_errors.py
@@ -55,12 +55,12 @@
     return isinstance(error, BrokenPipeError) or error.errno in CLOSED_ERRNOS
 
 
-def retry_local_faults(call: Callable[[], Result], for_s: float) -> Result:
+def retry_local_faults(call: Callable[[], Result], max_duration_s: float) -> Result:
     """What the call returns; it is made again while this machine lacks something, for so many seconds.
 
     A start must not fail for a table that is full for a moment. Raises the call's errors.
     """
-    give_up_at = monotonic() + for_s
+    give_up_at = monotonic() + max_duration_s
     while True:
         try:
             return call()
--- a/ashpath/server/log_writer.py
+++ b/ashpath/server/log_writer.py
@@ -24,7 +24,7 @@
     from ashpath.server.logs import Logger  # which imports this module
 
 MAX_PENDING_BYTES = 256 << 10  # of lines that wait for a reader
-PIECE_BYTES = 4096  # what a pipe that polls as writable takes without blocking
+MAX_WRITE_BYTES = 4096  # what a pipe that polls as writable takes without blocking
 RETRY_S = 0.25  # between tries at a reader that does not read
 
 
@@ -40,11 +40,11 @@
         if stat.S_ISSOCK(os.fstat(descriptor).st_mode):
             self.socket = socket(AF_UNIX, SOCK_STREAM, fileno=os.dup(descriptor))
 
-    def write(self, piece: bytes) -> int:
-        """How many bytes of at most `PIECE_BYTES` were taken. Raises OSError where nobody reads any more."""
+    def write(self, data: bytes) -> int:
+        """How many bytes of at most `MAX_WRITE_BYTES` were taken. Raises OSError where nobody reads."""
         if self.socket is not None:
             try:
-                return self.socket.send(piece, MSG_DONTWAIT)
+                return self.socket.send(data, MSG_DONTWAIT)
             except BlockingIOError:
                 return 0
         events = self.poll.poll(0)
@@ -52,7 +52,7 @@
             return 0
         if not events[0][1] & POLLOUT:
             raise BrokenPipeError
-        return os.write(self.descriptor, piece)
+        return os.write(self.descriptor, data)
 
 
 class LogWriter:
@@ -88,7 +88,7 @@
         while self.pending and self.output is not None:
             data = self.pending[0]
             try:
-                written = self.output.write(data[:PIECE_BYTES])
+                written = self.output.write(data[:MAX_WRITE_BYTES])
             except OSError as error:
                 if not is_closed(error):
                     return False  # a full disk, say: it is tried again
--- a/ashpath/server/logs.py
+++ b/ashpath/server/logs.py
@@ -12,10 +12,10 @@
 from ashpath.server.log_writer import LogWriter
 
 # Where rich is installed structlog loads it, for tracebacks not drawn here: 50 ms and 3 MB of a start.
-hidden_rich = sys.modules.setdefault("rich", None)  # type: ignore[arg-type]  # None: an import of it fails
+imported_rich = sys.modules.setdefault("rich", None)  # type: ignore[arg-type]  # None: an import of it fails
 import structlog  # noqa: E402  # behind the line that hides rich from it
 
-if hidden_rich is None:
+if imported_rich is None:
     del sys.modules["rich"]
 
 Logger = structlog.typing.FilteringBoundLogger  # the type of every logger that is handed to a part
@@ -35,9 +35,9 @@
     It is the last of structlog's processors, and `filter_by_level` the first."""
 
     def __init__(self, level: str = "info", form: str = "logfmt") -> None:
-        self.use(level, form)
+        self.configure(level, form)
 
-    def use(self, level: str, form: str) -> None:
+    def configure(self, level: str, form: str) -> None:
         """Lines have that level at least, and that form, from now on."""
         self.min_level = LEVELS[level]
         self.renderer = RENDERERS[form]()
--- a/ashpath/server/optional_services.py
+++ b/ashpath/server/optional_services.py
@@ -80,11 +80,11 @@
         self.recorder = recorder
         self.retry_interval_s = retry_interval_s
         self.metrics: Metrics | None = None  # from the first address on
-        self.configured: Address | None = None
+        self.configured_address: Address | None = None
 
     def configure(self, listen: Address | None) -> None:
         """Moves to an address, or to none. Raises OSError where it is in use: the one before serves on."""
-        self.configured = listen
+        self.configured_address = listen
         if self.metrics is None and listen is not None:
             from ashpath.server.metrics.metrics import Metrics
 
@@ -105,8 +105,8 @@
 
     def retry(self) -> None:
         """Tries until the address is free, or the configuration names another."""
-        while self.metrics is not None and self.metrics.address != self.configured:
+        while self.metrics is not None and self.metrics.address != self.configured_address:
             with suppress(OSError):
-                self.configure(self.configured)
+                self.configure(self.configured_address)
                 return
             gevent.sleep(self.retry_interval_s)
--- a/ashpath/server/platform_deployment.py
+++ b/ashpath/server/platform_deployment.py
@@ -38,7 +38,7 @@
 from ashpath.server.policy_runner import PolicyRunner
 from ashpath.server.reload import PlatformReloader
 from ashpath.server.runtime import SenderRuntime
-from ashpath.server.sender import SenderPlace
+from ashpath.server.sender import ProcessOptions
 from ashpath.server.storage.traffic_class_ids import TrafficClassIds
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.wiring import create_sender
@@ -54,7 +54,7 @@
     discovery: str
     """The address of the discovery service; the file's comes first."""
     configuration_file: Path
-    place: SenderPlace
+    process_options: ProcessOptions
 
     @classmethod
     def read(cls) -> PlatformEnvironment:
@@ -65,8 +65,8 @@
         state = Path(environment_variable("RELAY_STATE"))
         configuration_file = Path(environment_variable("RELAY_CONFIG"))
         inherited_socket = inherited_descriptor()
-        place = SenderPlace(listen, state, control_address(), inherited_socket)
-        return cls(name, discovery, configuration_file, place)
+        process_options = ProcessOptions(listen, state, control_address(), inherited_socket)
+        return cls(name, discovery, configuration_file, process_options)
 
     def read_configuration(self) -> SenderConfiguration:
         """Raises `StartupError`, or one of `UNUSABLE_CONFIGURATION_ERRORS`."""
@@ -156,8 +156,10 @@
     try:
         configuration = environment.read_configuration()
         assert configuration.platform_address is not None  # RELAY_DISCOVERY is set
-        deployment = PlatformDeployment(environment.place.state_directory, configuration.platform_address)
-        sender = create_sender(environment.place, configuration, deployment, logger)
+        deployment = PlatformDeployment(
+            environment.process_options.state_directory, configuration.platform_address
+        )
+        sender = create_sender(environment.process_options, configuration, deployment, logger)
     except UNUSABLE_CONFIGURATION_ERRORS as error:
         raise UnusableConfigurationError(environment.configuration_file, error) from error
     reloader = PlatformReloader(
--- a/ashpath/server/policy_actions.py
+++ b/ashpath/server/policy_actions.py
@@ -60,7 +60,7 @@
         self.logger = logger
         self._queue: list[Action] = []
 
-    def use_settings(self, settings: PolicySettings) -> None:
+    def apply_settings(self, settings: PolicySettings) -> None:
         """The policy's new settings, for modes that change from now on."""
         self.settings = settings
 
--- a/ashpath/server/policy_runner.py
+++ b/ashpath/server/policy_runner.py
@@ -68,7 +68,7 @@
         self.abandoned: set[int] = set()
         """Ids of messages whose client left while an attempt was in flight; each leaves with its outcome."""
         self.stopped = False
-        self.recording_fails = False  # the last attempt was not recorded: said once
+        self.recording_failed = False  # the last attempt was not recorded: said once
         """No attempt is started any more: what is left is for the next incarnation."""
         self.timers = Timers(self)
         pool = attempt_runner.pool
@@ -125,7 +125,7 @@
     def apply_settings(self, settings: PolicySettings, records: list[EndpointRecord]) -> None:
         """New settings, and the endpoint list again, as kinds may have other routes now."""
         with self._batch as policy:
-            self.actions.use_settings(settings)
+            self.actions.apply_settings(settings)
             policy.apply_settings(settings)
             policy.update_endpoints(records, complete=True)
 
@@ -188,15 +188,15 @@
         except OSError as error:
             self._report_unrecorded(attempt, error)
         else:
-            self.recording_fails = False
+            self.recording_failed = False
             self.attempt_runner.start(attempt, self)
 
     def _report_unrecorded(self, attempt: Attempt, error: OSError) -> None:
         """Reports it as not sent, but not in this batch: the policy would start it again at once, until it
         had no attempt left."""
-        if not self.recording_fails:
+        if not self.recording_failed:
             self.logger.error("attempt not recorded", error=str(error))
-        self.recording_fails = True
+        self.recording_failed = True
         pause_s = self.attempt_runner.pool.limits.retry_s
         gevent.spawn_later(pause_s, self._report_result, attempt, NOT_SENT)
 
--- a/ashpath/server/runtime.py
+++ b/ashpath/server/runtime.py
@@ -61,7 +61,7 @@
             messages=len(sender.delivery.policy_runner.messages),
             endpoints=len(sender.delivery.registry.addresses),
             detached=len(detached),
-            inherited=sender.place.inherited_socket is not None,
+            inherited=sender.process_options.inherited_socket is not None,
         )
         sender.shutdown.ended.wait()
         sender.delivery.write_ahead_log.close()
@@ -70,7 +70,7 @@
         """Clients and operators can connect from now on. Raises OSError."""
         sender = self.sender
         if not sender.clients.listener.listening:
-            sender.clients.listener.listen(sender.place.inherited_socket)
+            sender.clients.listener.listen(sender.process_options.inherited_socket)
         if sender.control is not None:
             sender.control.listen()
 
--- a/ashpath/server/sender.py
+++ b/ashpath/server/sender.py
@@ -34,7 +34,7 @@
     from ashpath.server.storage.outcome_store import OutcomeStore
 
 
-class SenderPlace(Struct, frozen=True):
+class ProcessOptions(Struct, frozen=True):
     """Where a sender stands: what a reload cannot change."""
 
     listen: str
@@ -73,7 +73,7 @@
 class Sender(Struct, frozen=True):
     """The parts of one sender."""
 
-    place: SenderPlace
+    process_options: ProcessOptions
     running: RunningConfiguration
     limits: ServerLimits
     """Of the process: those of a later configuration wait for the next start."""
--- a/ashpath/server/shutdown.py
+++ b/ashpath/server/shutdown.py
@@ -109,7 +109,7 @@
         self.state = ShutdownState.FINISHING
         self.policy_runner.stop_attempts()
         self.listener.close_idle()
-        self.wait_while(self.has_unfinishable_work, deadline)
+        self.wait_while(self.has_nontransferable_work, deadline)
 
     def end(self) -> None:
         """Who connects now is refused at once, in place of a reset once the process is gone."""
@@ -128,10 +128,10 @@
         return (
             bool(self.policy_runner.messages)
             or self.listener.has_connections()
-            or self.has_unfinishable_work()
+            or self.has_nontransferable_work()
         )
 
-    def has_unfinishable_work(self) -> bool:
+    def has_nontransferable_work(self) -> bool:
         """What no other process can finish: attempts in flight, notifications on their way, clients within a
         request."""
         return (
--- a/ashpath/server/state_files.py
+++ b/ashpath/server/state_files.py
@@ -6,7 +6,7 @@
 
 from ashpath.server.limits import ServerLimits
 from ashpath.server.logs import Logger
-from ashpath.server.sender import SenderPlace
+from ashpath.server.sender import ProcessOptions
 from ashpath.server.storage import outage_store, shared_memory
 from ashpath.server.storage.shared_memory import MAX_PROCESSES, SharedMemory
 from ashpath.server.storage.shared_memory_layout import FILE_BYTES
@@ -14,34 +14,36 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
 
-def open_write_ahead_log(place: SenderPlace, limits: ServerLimits, logger: Logger) -> WriteAheadLog:
+def open_write_ahead_log(
+    process_options: ProcessOptions, limits: ServerLimits, logger: Logger
+) -> WriteAheadLog:
     """Its bytes are what the other files of the state directory leave of `disk_bytes`.
 
     Raises OSError, LogLockedError and ForeignRecordError."""
-    settle_clock(place, logger)
-    files = shared_memory_files(place)
+    initialize_clock(process_options, logger)
+    files = shared_memory_files(process_options)
     write_ahead_log = WriteAheadLog(
-        place.state_directory, limits.disk_bytes - files * FILE_BYTES - outage_store.MAX_DISK_BYTES
+        process_options.state_directory, limits.disk_bytes - files * FILE_BYTES - outage_store.MAX_DISK_BYTES
     )
     if write_ahead_log.skipped_bytes:
         logger.error("write-ahead log damaged", skipped_bytes=write_ahead_log.skipped_bytes)
     return write_ahead_log
 
 
-def settle_clock(place: SenderPlace, logger: Logger) -> None:
+def initialize_clock(process_options: ProcessOptions, logger: Logger) -> None:
     """Before any stored time is read. After a boot no Retry-After binds that a process before it was told."""
-    if initialize_stored_clock(place.state_directory, logger) is ClockOrigin.OTHER_BOOT:
-        shared_memory.remove_files(place.state_directory, MAX_PROCESSES)
+    if initialize_stored_clock(process_options.state_directory, logger) is ClockOrigin.OTHER_BOOT:
+        shared_memory.remove_files(process_options.state_directory, MAX_PROCESSES)
 
 
-def open_shared_memory(place: SenderPlace, logger: Logger) -> SharedMemory:
+def open_shared_memory(process_options: ProcessOptions, logger: Logger) -> SharedMemory:
     """Without a place for this process it still reads what the other one of a hot upgrade writes."""
-    memory = SharedMemory(place.state_directory, shared_memory_files(place))
+    memory = SharedMemory(process_options.state_directory, shared_memory_files(process_options))
     if memory.own is None:
         logger.error("no shared memory: Retry-After and detached endpoints of this process bind no other")
     return memory
 
 
-def shared_memory_files(place: SenderPlace) -> int:
+def shared_memory_files(process_options: ProcessOptions) -> int:
     """A process that binds the address by itself is alone."""
-    return 1 if place.inherited_socket is None else MAX_PROCESSES
+    return 1 if process_options.inherited_socket is None else MAX_PROCESSES
--- a/ashpath/server/storage/stored_clock.py
+++ b/ashpath/server/storage/stored_clock.py
@@ -75,7 +75,7 @@
     boot = boot_id()
     stored = read_offset(file)
     if stored is not None and stored.is_of_boot(boot):
-        timers.settle_offset(stored.offset_us)
+        timers.set_stored_time_offset(stored.offset_us)
         return ClockOrigin.SAME_BOOT
     monotonic = timers.now()
     fresh = ClockOffset(boot, timers.wall_clock() - monotonic, monotonic)
@@ -86,7 +86,7 @@
         logger.warning("clock not written", error=str(error))
     else:
         fresh = read_offset(file) or fresh  # the other process of a hot upgrade may have written its own
-    timers.settle_offset(fresh.offset_us)
+    timers.set_stored_time_offset(fresh.offset_us)
     return ClockOrigin.NEW if stored is None else ClockOrigin.OTHER_BOOT
 
 
--- a/ashpath/server/timers.py
+++ b/ashpath/server/timers.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.event import Event
 
-MICROSECONDS = 1_000_000  # in a second
+MICROSECONDS_PER_SECOND = 1_000_000  # in a second
 
 
 def now() -> int:
@@ -29,7 +29,7 @@
 _offset = wall_clock() - now()  # microseconds to stored times; `storage.stored_clock` settles it at the start
 
 
-def settle_offset(offset_us: int) -> None:
+def set_stored_time_offset(offset_us: int) -> None:
     """What stored times are counted by from now on. Called once, before any is read."""
     global _offset
     _offset = offset_us
@@ -95,4 +95,4 @@
 
     def seconds_to_next(self, moment: int) -> float | None:
         """Until the earliest one; None where there is none."""
-        return (self.heap[0].due_at - moment) / MICROSECONDS if self.heap else None
+        return (self.heap[0].due_at - moment) / MICROSECONDS_PER_SECOND if self.heap else None
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -31,7 +31,7 @@
 from ashpath.server.optional_services import GossipService, MetricsService, SenderMetricsSource
 from ashpath.server.policy_runner import PolicyRunner
 from ashpath.server.reload import SettingsSwitch
-from ashpath.server.sender import ClientSide, DeliveryPath, Sender, SenderPlace
+from ashpath.server.sender import ClientSide, DeliveryPath, ProcessOptions, Sender
 from ashpath.server.shutdown import GracefulShutdown
 from ashpath.server.storage.detached_endpoints import DetachedEndpoints
 from ashpath.server.storage.outage_store import OutageStore
@@ -39,29 +39,32 @@
 
 
 def create_sender(
-    place: SenderPlace, configuration: SenderConfiguration, deployment: Deployment, logger: Logger
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    deployment: Deployment,
+    logger: Logger,
 ) -> Sender:
     """A sender that is not started yet, though metrics can be read already.
 
     Raises `StartupError`, and one of `UNUSABLE_CONFIGURATION_ERRORS` where the state directory, an address
     or a list in the configuration cannot be used.
     """
-    write_ahead_log = state_files.open_write_ahead_log(place, configuration.limits, logger)
+    write_ahead_log = state_files.open_write_ahead_log(process_options, configuration.limits, logger)
     configuration = deployment.restore_traffic_class_ids(
         configuration,
-        has_live_messages=bool(write_ahead_log.messages.live) or place.inherited_socket is not None,
+        has_live_messages=bool(write_ahead_log.messages.live) or process_options.inherited_socket is not None,
     )
     running = RunningConfiguration(configuration)
-    delivery = create_delivery_path(place, configuration, deployment, write_ahead_log, logger)
-    clients = create_client_side(place, configuration, deployment, delivery, logger)
+    delivery = create_delivery_path(process_options, configuration, deployment, write_ahead_log, logger)
+    clients = create_client_side(process_options, configuration, deployment, delivery, logger)
     delivery.registry.apply_members(configuration.known_endpoints["members"], complete=True)
-    control = create_control_listener(place, configuration, delivery, clients.listener, logger)
-    discovery = create_discovery_client(place, configuration, delivery.membership, logger)
+    control = create_control_listener(process_options, configuration, delivery, clients.listener, logger)
+    discovery = create_discovery_client(process_options, configuration, delivery.membership, logger)
     gossip = GossipService(delivery.policy_runner, delivery.gossip_link, logger)
     metrics = create_metrics_service(running, delivery, clients, discovery, gossip)
-    metrics.start(configuration.metrics_listen, other_process=place.inherited_socket is not None)
+    metrics.start(configuration.metrics_listen, other_process=process_options.inherited_socket is not None)
     return Sender(
-        place=place,
+        process_options=process_options,
         running=running,
         limits=configuration.limits,
         logger=logger,
@@ -69,7 +72,7 @@
         clients=clients,
         control=control,
         discovery=discovery,
-        orphan_adopter=create_orphan_adopter(place, configuration.limits, delivery, logger),
+        orphan_adopter=create_orphan_adopter(process_options, configuration.limits, delivery, logger),
         gossip=gossip,
         metrics=metrics,
         settings_switch=create_settings_switch(
@@ -80,7 +83,7 @@
 
 
 def create_delivery_path(
-    place: SenderPlace,
+    process_options: ProcessOptions,
     configuration: SenderConfiguration,
     deployment: Deployment,
     write_ahead_log: WriteAheadLog,
@@ -89,16 +92,16 @@
     """Opens the other files of the state directory, too."""
     limits = configuration.limits
     settings = configuration.settings
-    shared_memory = state_files.open_shared_memory(place, logger)
+    shared_memory = state_files.open_shared_memory(process_options, logger)
     outcome_store = deployment.create_outcome_store(limits, logger)
-    backoff = create_notifier_backoff(place, configuration)
+    backoff = create_notifier_backoff(process_options, configuration)
     notifier = deployment.create_notifier(limits, write_ahead_log, backoff, logger)
     pool = ConnectionPool(limits)
     registry = EndpointRegistry(settings.kinds, settings.zones, pool, logger)
     recorder = OutcomeRecorder(write_ahead_log, notifier, outcome_store)
     attempt_runner = AttemptRunner(pool, registry, create_classifier(settings), notifier, logger)
     gossip_link = GossipLink()
-    detached_endpoints = DetachedEndpoints(place.state_directory, logger)
+    detached_endpoints = DetachedEndpoints(process_options.state_directory, logger)
     policy_runner = PolicyRunner(
         settings.policy_settings,
         write_ahead_log,
@@ -106,7 +109,7 @@
         attempt_runner,
         shared_memory,
         detached_endpoints,
-        OutageStore(place.state_directory, logger),
+        OutageStore(process_options.state_directory, logger),
         gossip_link,
         logger,
     )
@@ -130,20 +133,20 @@
     return ResponseClassifier(has_load_reports=load_report_fields(settings.document) is not None)
 
 
-def create_notifier_backoff(place: SenderPlace, configuration: SenderConfiguration) -> Backoff:
+def create_notifier_backoff(process_options: ProcessOptions, configuration: SenderConfiguration) -> Backoff:
     """The pauses after failed notifications."""
     limits = configuration.limits
-    chance = Random(f"{random_seed(place, configuration)}/n")
+    chance = Random(f"{random_seed(process_options, configuration)}/n")
     return Backoff(chance, limits.retry_s, limits.notification_backoff_s)
 
 
-def random_seed(place: SenderPlace, configuration: SenderConfiguration) -> str:
+def random_seed(process_options: ProcessOptions, configuration: SenderConfiguration) -> str:
     """Senders of one fleet differ by their address."""
-    return f"{configuration.policy_settings.seed}/{place.listen}"
+    return f"{configuration.policy_settings.seed}/{process_options.listen}"
 
 
 def create_client_side(
-    place: SenderPlace,
+    process_options: ProcessOptions,
     configuration: SenderConfiguration,
     deployment: Deployment,
     delivery: DeliveryPath,
@@ -162,20 +165,20 @@
         delivery.policy_runner, delivery.outcome_store, configuration.settings.traffic_class_names()
     )
     listener = ClientListener(
-        parse_address(place.listen), configuration.limits, admission, logger, status_api
+        parse_address(process_options.listen), configuration.limits, admission, logger, status_api
     )
     return ClientSide(admission, listener, status_api)
 
 
 def create_control_listener(
-    place: SenderPlace,
+    process_options: ProcessOptions,
     configuration: SenderConfiguration,
     delivery: DeliveryPath,
     listener: ClientListener,
     logger: Logger,
 ) -> ControlListener | None:
     """The operators' address, where there is one; the environment's comes first."""
-    address = place.control or configuration.control
+    address = process_options.control or configuration.control
     if not address:
         return None
     commands = OperatorCommands(
@@ -185,7 +188,10 @@
 
 
 def create_discovery_client(
-    place: SenderPlace, configuration: SenderConfiguration, membership: EndpointMembership, logger: Logger
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    membership: EndpointMembership,
+    logger: Logger,
 ) -> DiscoveryClient | None:
     """The client of the discovery service, where there is one.
 
@@ -203,18 +209,18 @@
         limits,
         int(configuration.known_endpoints.get("revision") or 0),
         membership,
-        Random(f"{random_seed(place, configuration)}/d"),
+        Random(f"{random_seed(process_options, configuration)}/d"),
         logger,
-        first_poll_delay_s if place.inherited_socket is None else 0.0,
+        first_poll_delay_s if process_options.inherited_socket is None else 0.0,
         pushed=configuration.settings.discovery_pushes,
     )
 
 
 def create_orphan_adopter(
-    place: SenderPlace, limits: ServerLimits, delivery: DeliveryPath, logger: Logger
+    process_options: ProcessOptions, limits: ServerLimits, delivery: DeliveryPath, logger: Logger
 ) -> OrphanAdopter | None:
     """For a process that may be one of two."""
-    if place.inherited_socket is None:
+    if process_options.inherited_socket is None:
         return None
     return OrphanAdopter(delivery.write_ahead_log, delivery.policy_runner, limits.adoption_interval_s, logger)
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -162,7 +162,7 @@
     clients = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_CLIENTS
     base = sys.argv[3] if len(sys.argv) > 3 else None
     random = Random(7)
-    limits = ServerLimits.of(LIMITS, sender_settings(1, SETTINGS))
+    limits = ServerLimits.from_configuration(LIMITS, sender_settings(1, SETTINGS))
     observations = Observations()
     with tempfile.TemporaryDirectory() as made:
         destinations = [
--- a/tests/config/test_platform_form.py
+++ b/tests/config/test_platform_form.py
@@ -62,8 +62,8 @@
 def test_file_gives_same_limits_as_platform_json(tmp_path: Path) -> None:
     form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     settings = sender_settings(0x8C1F, PLATFORM_SETTINGS)
-    platform_limits = ServerLimits.of({"sockets": 1024, "disk_mb": 3.0}, settings)
-    file_limits = ServerLimits.of(form["limits"], settings)
+    platform_limits = ServerLimits.from_configuration({"sockets": 1024, "disk_mb": 3.0}, settings)
+    file_limits = ServerLimits.from_configuration(form["limits"], settings)
     for name in (
         "client_connections",
         "endpoint_connections",
--- a/tests/server/storage/test_stored_clock.py
+++ b/tests/server/storage/test_stored_clock.py
@@ -23,7 +23,7 @@
 def restore_offset() -> Iterator[None]:
     before = timers.stored_time() - timers.now()
     yield
-    timers.settle_offset(before)
+    timers.set_stored_time_offset(before)
 
 
 def step_wall_clock(monkeypatch: pytest.MonkeyPatch, by_us: int) -> None:
--- a/tests/server/test_logs.py
+++ b/tests/server/test_logs.py
@@ -23,5 +23,5 @@
     assert log_format.filter_by_level(None, "error", {"event": "e"}) == {"event": "e"}
     with pytest.raises(structlog.DropEvent):
         log_format.filter_by_level(None, "info", {"event": "e"})
-    log_format.use("debug", "json")
+    log_format.configure("debug", "json")
     assert log_format.filter_by_level(None, "debug", {"event": "e"}) == {"event": "e"}
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -322,4 +322,4 @@
 
 
 POLICY_SETTINGS = sender_settings(1, SETTINGS)
-LIMITS = ServerLimits.of({"sockets": 256, "disk_mb": 1}, POLICY_SETTINGS)
+LIMITS = ServerLimits.from_configuration({"sockets": 256, "disk_mb": 1}, POLICY_SETTINGS)
