--- a/ashpath/server/addresses.py
+++ b/ashpath/server/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on the network: host and port, and how they are written in settings and lists."""
+"""Network addresses, host and port, and their form in settings and endpoint lists."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Host and port. Raises InvalidAddressError.
+    """Returns host and port. Raises InvalidAddressError if the text is not an address.
 
     >>> parse_address("10.1.0.18:7070")
     ('10.1.0.18', 7070)
--- a/ashpath/server/adoption.py
+++ b/ashpath/server/adoption.py
@@ -1,9 +1,10 @@
-"""Hot upgrade: what the process beside this one leaves behind, and what it does meanwhile.
+"""Hot upgrade: adoption of the messages that another process of the same sender left in its write-ahead log.
 
 Theory of operation: the platform hands the clients' listening socket to a second process of the same sender,
-and then sends SIGTERM to the first. Each process writes a log of its own; the log of one that is gone is an
-orphan. `OrphanAdopter` looks for orphans as long as the process runs, which covers a process that was killed
-as well. A process that binds the address by itself is alone, and adopts nothing.
+and then sends SIGTERM to the first. Each process writes a log of its own; the log of a process that has ended
+is an orphan. `OrphanAdopter` checks for orphans as long as its process runs, and so also finds the log of a
+process that was killed. A process that binds the address itself has no other process beside it, and adopts
+nothing.
 """
 
 from __future__ import annotations
@@ -18,15 +19,16 @@
 
 
 class MessageAdopter(Protocol):
-    """Who goes on with messages of another process."""
+    """Continues the delivery of messages of another process."""
 
     def adopt(self, messages: list[StoredMessage]) -> None:
-        """They are in this process' write-ahead log by now, in the order in which they were accepted."""
+        """Takes over messages, in the order of acceptance, that this process's write-ahead log already
+        contains."""
         ...
 
 
 class OrphanAdopter:
-    """Takes over the live messages of orphaned logs, every `interval_s` seconds."""
+    """Adopts the live messages of orphaned logs. Checks for such logs every `interval_s` seconds."""
 
     def __init__(
         self, write_ahead_log: WriteAheadLog, adopter: MessageAdopter, interval_s: float, logger: Logger
@@ -37,7 +39,7 @@
         self.logger = logger
 
     def run(self) -> None:
-        """Never returns."""
+        """Checks for orphaned logs at each interval. Never returns."""
         while True:
             gevent.sleep(self.interval_s)
             adopted = self.write_ahead_log.adopt()
--- a/ashpath/server/agent_client.py
+++ b/ashpath/server/agent_client.py
@@ -1,7 +1,7 @@
-"""Short calls to the platform's agent over one kept connection: polls of discovery, and notifications.
+"""Short calls to the platform's agent over one persistent connection: polls of discovery, and notifications.
 
-A call that fails closes the connection, and its caller decides when to try again; nothing is tried again
-here.
+A failed call closes the connection. Calls are not retried in this module; the caller decides when to try
+again.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 
 
 class AgentConnection:
-    """One kept connection, for one call at a time."""
+    """A persistent connection for one call at a time."""
 
     def __init__(self, address: Address, limits: ServerLimits) -> None:
         self.address = address
         self.limits = limits
         self.connection: HttpConnection | None = None
-        self.connected_address = address  # where the connection leads, or is being dialled to
-        self.dialling: socket.socket | None = None  # while it is dialled
+        self.connected_address = address  # of the connection, or of the one being dialled
+        self.dialling: socket.socket | None = None  # the socket that is being dialled
 
     def move(self, address: Address) -> None:
-        """The agent is at `address` from now on: a call that is in flight fails."""
+        """Uses `address` for all further calls. A call in flight fails."""
         self.address = address
         self.abort()
 
     def abort(self) -> None:
-        """A call that is in flight fails; the next one is on another connection."""
+        """Makes a call in flight fail. The next call uses another connection."""
         if self.connection is not None:
             self.connection.close()
         if self.dialling is not None:
-            self.dialling.close()  # whose waiter is woken with an OSError
+            self.dialling.close()  # the greenlet that dials gets an OSError
 
     def call(
         self, request_line: bytes, body: bytes, timeout_s: float, headers: Headers = ()
     ) -> HttpResponse | None:
-        """The response, or None where none that can be read came within `timeout_s`."""
+        """Returns the response, or None if no readable response arrived within `timeout_s` seconds."""
         try:
             with Timeout(timeout_s):
                 response = self.exchange(request_line, body, headers)
@@ -57,7 +57,8 @@
         return response
 
     def exchange(self, request_line: bytes, body: bytes, headers: Headers) -> HttpResponse:
-        """Raises OSError, ConnectionClosedError and ProtocolError."""
+        """Sends one request and returns the response. Raises OSError, ConnectionClosedError or
+        ProtocolError."""
         connection = self.connect()
         all_headers = [host_header(self.connected_address), *headers]
         connection.write(encode_message(request_line, all_headers, body))
@@ -68,12 +69,13 @@
         return response
 
     def connect(self) -> HttpConnection:
-        """The kept connection where it can still be used, else a new one. Raises OSError."""
+        """Returns the persistent connection if it is still usable, otherwise a new one. Raises OSError if
+        dialling fails."""
         kept = self.connection
         if kept is not None and self.connected_address == self.address and kept.is_idle():
             return kept
         self.close()
-        self.connected_address = self.address  # before the dial, as `move` may come while it waits
+        self.connected_address = self.address  # before the dial, as `move` may be called meanwhile
         self.dialling = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             self.connection = dial(self.dialling, self.connected_address, self.limits)
@@ -82,7 +84,7 @@
         return self.connection
 
     def close(self) -> None:
-        """Closes the kept connection, if there is one."""
+        """Closes the persistent connection, if any."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
--- a/ashpath/server/backoff.py
+++ b/ashpath/server/backoff.py
@@ -1,11 +1,12 @@
-"""How long to pause before a failed call is tried again, free of I/O: randomness comes in, seconds go out.
+"""Exponential backoff with jitter between tries of a failed call. The computation has no I/O.
 
-Discovery and notifications share it. In a fleet that was killed together every sender's calls fail at the
-same moment; with one fixed pause they would all come back together, again and again, and be rejected as one.
-So a pause doubles with each failure in a row, from `min_s` to `max_s`, and its last part, `jitter`, is drawn.
+Service discovery and notifications use it. In a fleet that was killed together every sender's calls fail at
+the same moment; with a fixed pause all senders would try again together, repeatedly, and all be rejected. The
+pause therefore doubles with each failure in a row, from `min_s` to `max_s`, and the share `jitter` of each
+pause is random.
 
-A Retry-After is heeded up to two thirds of `max_retry_after_s`, and the pause is then drawn from there up to
-`max_retry_after_s`: all senders may have been sent the same one.
+A Retry-After is honored up to two thirds of `max_retry_after_s`. The pause is then random between that value
+and `max_retry_after_s`, as all senders may have received the same Retry-After.
 
 >>> from random import Random
 >>> backoff = Backoff(Random(1), min_s=0.1, max_s=0.8)
@@ -20,13 +21,13 @@
 
 from random import Random
 
-DEFAULT_JITTER = 0.5  # the part of a pause that is drawn
+DEFAULT_JITTER = 0.5  # the random share of a pause
 DEFAULT_MAX_RETRY_AFTER_S = 4.5
-MAX_COUNTED_FAILURES = 32  # keeps the doubling in the range of a float
+MAX_COUNTED_FAILURES = 32  # keeps the doubled pause within the range of a float
 
 
 class Backoff:
-    """The pauses of one caller. `jitter` is the part of each that is drawn."""
+    """Computes the pauses of one caller. `jitter` is the random share of each pause."""
 
     def __init__(
         self,
@@ -40,12 +41,12 @@
         self.min_s = min_s
         self.max_s = max_s
         self.max_retry_after_s = max_retry_after_s
-        self.max_honored_retry_after_s = max_retry_after_s * 2 / 3  # of a Retry-After
+        self.max_honored_retry_after_s = max_retry_after_s * 2 / 3
         self.jitter = jitter
         self.failures = 0  # in a row
 
     def next_pause(self, retry_after_s: float | None = None) -> float:
-        """Counts one more failure; seconds to pause before the next try."""
+        """Counts one more failure, and returns the seconds to pause before the next try."""
         self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
         longest = min(self.max_s, self.min_s * 2.0 ** (self.failures - 1))
         pause = longest * (1 - self.jitter * (1 - self.random.random()))
@@ -56,5 +57,5 @@
         return pause
 
     def reset(self) -> None:
-        """The last try succeeded."""
+        """Clears the count of failures after a try that succeeded."""
         self.failures = 0
--- a/ashpath/server/configuration.py
+++ b/ashpath/server/configuration.py
@@ -2,11 +2,11 @@
 
 Theory of operation: `SenderConfiguration.parse` takes the decoded JSON document, at the start and again at
 each SIGHUP. A sender's own TOML file is converted to the same form first (`config.platform_form`), so that
-each rule stands once. Parsed values never change: what depends on an earlier configuration (`aligned_with`)
-or on the write-ahead log (`with_traffic_class_ids`) is a new value.
+each rule is implemented once. Parsed values are immutable: `aligned_with`, which depends on an earlier
+configuration, and `with_traffic_class_ids`, which depends on the write-ahead log, return new values.
 
 The write-ahead log, the endpoint list and the policy know traffic classes, kinds and zones by number.
-`SenderConfiguration.settings` has the numbers of this incarnation, `raw_settings` the document as read.
+`SenderConfiguration.settings` has the numbers of this incarnation; `raw_settings` is the document as read.
 """
 
 from __future__ import annotations
@@ -27,23 +27,25 @@
 
 
 class SenderSettings(Struct, frozen=True):
-    """The operators' settings, and what the parts of a sender need of them."""
+    """The operators' settings, and the values that the parts of a sender derive from them."""
 
     document: JsonObject
     """The `settings` table; its `classes` are in the order of the traffic class ids."""
     policy_settings: PolicySettings
     kinds: list[str]
-    """Kinds of destinations, by number."""
+    """Names of the kinds of destinations, indexed by number."""
     zones: list[str]
-    """Zones of endpoints, by number."""
+    """Names of the zones of endpoints, indexed by number."""
     discovery_pushes: bool
-    """Whether what the platform's agent has counts as reported before it is asked for."""
+    """Whether the platform pushes endpoint lists: a change counts as reported once the platform's agent has
+    it, even if the sender has not polled the agent yet."""
     traffic_class_ids: dict[str, int]
-    """Ids of the traffic classes that accept messages, by name."""
+    """Ids of the traffic classes that accept messages, keyed by name."""
 
     @classmethod
     def parse(cls, seed: int, document: JsonObject, closed_ids: Sequence[int] = ()) -> SenderSettings:
-        """`closed_ids`: traffic classes that accept nothing new, as the settings lack or changed them.
+        """`closed_ids`: traffic classes that accept no new messages, as the settings no longer contain or
+        have changed them.
 
         Raises `InvalidSettingError`, which names the key, and KeyError, TypeError or AttributeError for a
         document of another shape.
@@ -62,37 +64,37 @@
         )
 
     def traffic_class_names(self) -> list[str]:
-        """Names by traffic class id."""
+        """Returns the names of the traffic classes, indexed by traffic class id."""
         return [row["name"] for row in self.document["classes"]]
 
 
 class SenderConfiguration(Struct, frozen=True):
-    """All that a sender is configured with at its start, and anew at each SIGHUP."""
+    """The whole configuration of a sender, which is read at its start and again at each SIGHUP."""
 
     seed: int
     raw_settings: JsonObject
-    """The `settings` table as read, to compare with that of another reading."""
+    """The `settings` table as read. A reload compares it with the table of the running configuration."""
     settings: SenderSettings
     limits: ServerLimits
     known_endpoints: JsonObject
     """The endpoint list when the configuration was written: `members` and `revision`."""
     discovery: str
-    """The address of the discovery service as written; empty where there is none."""
+    """The address of the discovery service as written in the configuration; empty if the sender has none."""
     platform_address: Address | None
-    """The same address, parsed."""
+    """The parsed address of the discovery service."""
     control: str
-    """The operators' address; empty where there is none. Parsed at the start alone."""
+    """The address for operators' commands; empty if the sender has none. Parsed only at the start."""
     gossip_listen: Address | None
-    """Where gossip messages of other senders are received."""
+    """The address at which the sender receives gossip messages."""
     gossip_peers: frozenset[Address]
-    """Where the other senders receive theirs."""
+    """The addresses at which the other senders receive gossip messages."""
     metrics_listen: Address | None
-    """Where Prometheus reads the metrics."""
+    """The address at which Prometheus reads the metrics."""
 
     @classmethod
     def parse(cls, document: JsonObject, default_discovery: str = "") -> SenderConfiguration:
-        """`default_discovery`: the environment's address. The file's comes first, as a restart has the same
-        environment, and the file may have changed since.
+        """`default_discovery`: the address in the environment. The address in the file takes precedence, as
+        the file may change between restarts while the environment stays the same.
 
         Raises `StartupError` and `InvalidSettingError`, and one of `UNUSABLE_CONFIGURATION_ERRORS` for a
         document of another shape.
@@ -120,13 +122,14 @@
 
     @property
     def policy_settings(self) -> PolicySettings:
-        """The settings of the policy."""
+        """Settings of the policy."""
         return self.settings.policy_settings
 
     def with_traffic_class_ids(
         self, known: list[JsonObject], *, has_live_messages: bool
     ) -> SenderConfiguration:
-        """The traffic classes under the ids that `known` has for them: see `number_traffic_classes`."""
+        """Returns the configuration with the ids that `known` has for the traffic classes: see
+        `number_traffic_classes`."""
         rows, closed_ids = number_traffic_classes(
             self.settings.document["classes"], known, live_messages=has_live_messages
         )
@@ -134,15 +137,17 @@
         return replace(self, settings=SenderSettings.parse(self.seed, document, closed_ids))
 
     def aligned_with(self, running: SenderConfiguration) -> SenderConfiguration:
-        """This configuration for a sender that runs by another: traffic classes, kinds and zones keep their
-        numbers. No number is reused, as messages and measurements behind it live on."""
+        """Returns this configuration for a sender that runs with another one: traffic classes, kinds and
+        zones keep their numbers. No number is reused, as messages and measurements still refer to it."""
         document = align_order(self.settings.document, running.settings.document)
         aligned = replace(self, settings=replace(self.settings, document=document))
         return aligned.with_traffic_class_ids(running.settings.document["classes"], has_live_messages=True)
 
 
 def parse_listen_address(document: JsonObject, table: str) -> Address | None:
-    """The address under `TABLE.listen`; None where there is no such table. Raises `ListenAddressError`."""
+    """Returns the address under `TABLE.listen`, or None if the table is missing or empty.
+
+    Raises `ListenAddressError` if the address is missing or invalid."""
     try:
         return parse_address(str(document[table]["listen"])) if document.get(table) else None
     except (ValueError, KeyError, TypeError) as error:
@@ -150,6 +155,6 @@
 
 
 class RunningConfiguration(Struct):
-    """The configuration whose settings the sender runs by, for those who always need the latest."""
+    """Holds the configuration that is in effect, for the parts that always need the latest one."""
 
     current: SenderConfiguration
--- a/ashpath/server/deployment.py
+++ b/ashpath/server/deployment.py
@@ -1,7 +1,9 @@
-"""What differs between the two ways of deploying a sender: under the platform's agent, or from its own file.
+"""The differences between the two ways of deploying a sender: under the platform's agent, or from its own
+file.
 
-Everything else is put together once, in `wiring.py`. `platform_deployment.py` and the command line's
-`standalone_deployment.py` implement this, each with what it alone needs: neither imports the other.
+`wiring.py` creates all common parts. `platform_deployment.py` and the command line's
+`standalone_deployment.py` implement `Deployment`. Neither imports the other, so that each loads only the
+modules that it needs.
 """
 
 from __future__ import annotations
@@ -22,30 +24,36 @@
 
 
 class Deployment(Protocol):
-    """Who is notified, who keeps outcomes, and where traffic class ids are stored."""
+    """Decides who is notified, where final outcomes are kept, and where traffic class ids are stored."""
 
     def create_outcome_store(self, limits: ServerLimits, logger: Logger) -> OutcomeStore | None:
-        """Where clients may ask for final outcomes; None where nobody does."""
+        """Creates the store that answers clients' queries for final outcomes; None if the deployment has no
+        such queries."""
         ...
 
     def create_notifier(
         self, limits: ServerLimits, write_ahead_log: WriteAheadLog, backoff: Backoff, logger: Logger
     ) -> Notifier:
-        """`backoff`: the pauses after failed notifications, where they go over a network."""
+        """Creates the notifier. `backoff` gives the pauses after failed notifications that are sent over a
+        network."""
         ...
 
     def create_status_api(
         self, policy_runner: PolicyRunner, outcome_store: OutcomeStore | None, names: list[str]
     ) -> StatusApi | None:
-        """What clients may ask for; None where nothing. `names`: of the traffic classes, by id."""
+        """Creates the status API for clients; None if the deployment has none. `names`: names of the traffic
+        classes, indexed by id."""
         ...
 
     def restore_traffic_class_ids(
         self, configuration: SenderConfiguration, *, has_live_messages: bool
     ) -> SenderConfiguration:
-        """The configuration with the ids of the previous incarnation, whose messages go on under them."""
+        """Returns the configuration with the traffic class ids of the previous incarnation, whose messages
+        keep them."""
         ...
 
     def store_traffic_class_ids(self, configuration: SenderConfiguration) -> None:
-        """For the next incarnation, as the write-ahead log has ids only. Raises OSError."""
+        """Stores the traffic class ids for the next incarnation, as the write-ahead log contains no names.
+
+        Raises OSError if they cannot be written."""
         ...
--- a/ashpath/server/endpoint_membership.py
+++ b/ashpath/server/endpoint_membership.py
@@ -1,4 +1,4 @@
-"""Takes what service discovery lists: the registry learns the addresses, then the policy the endpoints."""
+"""Applies endpoint lists of service discovery: first to the registry of addresses, then to the policy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self.policy_runner = policy_runner
 
     def receive_members(self, members: list[EndpointRow], *, complete: bool) -> bool:
-        """Applies a listing; whether every member could be read."""
+        """Applies an endpoint list or a change of it. Returns whether every member could be read."""
         change = self.registry.apply_members(members, complete=complete)
         self.policy_runner.update_endpoints(change.records, complete=change.complete)
         return not change.unreadable
--- a/ashpath/server/errors.py
+++ b/ashpath/server/errors.py
@@ -13,32 +13,32 @@
 
 
 class StartupError(ValueError):
-    """The sender cannot start; the message is the one line that the operator sees."""
+    """The sender cannot start. The message is the single line that the operator sees."""
 
 
 class MissingVariableError(StartupError):
-    """The environment lacks a variable that a sender cannot do without."""
+    """The environment lacks a required variable."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is not set")
 
 
 class InheritedSocketError(StartupError):
-    """What RELAY_ACCEPT_FD names is not an open socket."""
+    """The descriptor in RELAY_ACCEPT_FD is not an open socket."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"RELAY_ACCEPT_FD is no open socket: {text!r}")
 
 
 class ControlAddressError(StartupError):
-    """What RELAY_CONTROL has is not an address with a port."""
+    """The value of RELAY_CONTROL is not an address with a port."""
 
     def __init__(self, reason: ValueError) -> None:
         super().__init__(f"RELAY_CONTROL: {reason}")
 
 
 class ListenAddressError(StartupError):
-    """A table of the configuration lacks an address to listen on."""
+    """A table of the configuration lacks a valid address to listen on."""
 
     def __init__(self, table: str, found: object) -> None:
         super().__init__(f"{table}.listen: found {found!r:.60}, expected an address with a port")
@@ -53,31 +53,32 @@
 
 
 class UnusableConfigurationError(StartupError):
-    """No sender can be put together from the configuration file, or from the state directory beside it."""
+    """A sender cannot be created from the configuration file, or from its state directory."""
 
     def __init__(self, path: Path, reason: Exception) -> None:
         super().__init__(f"cannot start from {path}: {error_text(reason)}")
 
 
 class ConfigurationError(ValueError):
-    """A configuration cannot be used, because it is cut short, say; the message says why."""
+    """A configuration cannot be used, for example because it is truncated. The message states the reason."""
 
 
 class InvalidAddressError(ValueError):
-    """A text that is no host with a port."""
+    """A text is not a host with a port."""
 
-    reported_as = "ValueError"  # in the line that a failed start prints: operators know that line
+    reported_as = "ValueError"  # printed in the line of a failed start, which operators match
 
     def __init__(self, text: str) -> None:
         super().__init__(f"{text!r} is no address with a port")
 
 
-# What parsing a configuration of the wrong shape raises, and putting a sender together from one.
+# Errors that parsing a configuration of the wrong shape raises, or creating a sender from it.
 UNUSABLE_CONFIGURATION_ERRORS = (OSError, ValueError, KeyError, TypeError, AttributeError)
 
 
 def error_text(error: BaseException) -> str:
-    """One line for operators: messages that were written for them as they are, others with their type."""
+    """Returns one line for operators. Messages that are written for operators are returned unchanged, others
+    are prefixed with the type of the error."""
     if isinstance(error, StartupError | InvalidSettingError):
         return str(error)
     kind = (
--- a/ashpath/server/gossip_link.py
+++ b/ashpath/server/gossip_link.py
@@ -1,7 +1,7 @@
-"""Hands the policy's gossip to the gossip socket, where the configuration names other senders.
+"""Passes the policy's gossip messages to the gossip socket, if the configuration names other senders.
 
-The policy runner needs a publisher from its start; `ashpath.server.gossip` is imported only where gossip is
-switched on, which a reload may do in a running sender. This link stands between the two.
+The policy runner needs a publisher from its start, but `ashpath.server.gossip` is imported only when gossip
+is switched on, which a reload may do in a running sender. `GossipLink` connects the two.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 
 class GossipPublisher(Protocol):
-    """Who sends a gossip message to all other senders, or loses it."""
+    """Sends gossip messages to all other senders, without a guarantee of delivery."""
 
     def publish(self, message: bytes) -> None:
-        """Never waits for a receiver."""
+        """Sends a message without waiting for a receiver."""
 
 
 class GossipLink:
-    """A publisher that is silent until another one is connected to it."""
+    """A publisher that drops all messages until another publisher is connected to it."""
 
     def __init__(self) -> None:
         self._publisher: GossipPublisher | None = None
 
     def connect(self, publisher: GossipPublisher) -> None:
-        """Gossip goes there from now on."""
+        """Uses `publisher` for all further messages."""
         self._publisher = publisher
 
     def publish(self, message: bytes) -> None:
-        """Passes it on; without a publisher it is dropped."""
+        """Passes the message on, or drops it if no publisher is connected."""
         if self._publisher is not None:
             self._publisher.publish(message)
--- a/ashpath/server/local_errors.py
+++ b/ashpath/server/local_errors.py
@@ -1,12 +1,12 @@
-"""What the errno of a failed system call says, told apart here alone: of this machine, of the far end, or
-that the descriptor will never serve again.
+"""Classifies the errno of a failed system call: a fault of this machine, a fault of the far end, or a
+descriptor that has become unusable. No other module interprets these numbers.
 
-| errno | it is |
+| errno | classified as |
 | --- | --- |
 | no descriptor, memory, buffer or local address, an interrupted or busy call | a fault of this machine |
-| no route, or the network is down | a fault of this machine, while no other dial comes up |
-| not a descriptor, not a socket, nobody reads | the end of that descriptor |
-| any other | the far end's |
+| no route, or the network is down | a fault of this machine, as long as no other dial succeeds |
+| not a descriptor, not a socket, no reader | an unusable descriptor |
+| any other | a fault of the far end |
 """
 
 from __future__ import annotations
@@ -37,7 +37,8 @@
 
 
 def is_local_fault(error: OSError) -> bool:
-    """A limit of this machine was reached, for a moment: it says nothing of whoever was called.
+    """Returns whether a limit of this machine was reached. Such an error is temporary, and unrelated to the
+    far end.
 
     >>> [is_local_fault(OSError(number, "")) for number in (errno.ENOBUFS, errno.ECONNREFUSED)]
     [True, False]
@@ -46,19 +47,20 @@
 
 
 def is_without_route(error: OSError) -> bool:
-    """No packet left: this machine's network is down, or that one place cannot be reached from it."""
+    """Returns whether no packet was sent: this machine's network is down, or it has no route to that
+    address."""
     return error.errno in NO_ROUTE_ERRNOS
 
 
 def is_closed(error: OSError) -> bool:
-    """The descriptor will not serve again: a call on it that is tried again fails for good."""
+    """Returns whether the descriptor is unusable, so that every further call on it fails."""
     return isinstance(error, BrokenPipeError) or error.errno in CLOSED_ERRNOS
 
 
 def retry_local_faults(call: Callable[[], Result], max_duration_s: float) -> Result:
-    """What the call returns; it is made again while this machine lacks something, for so many seconds.
+    """Returns the result of `call`, which is retried after local faults for up to `max_duration_s` seconds.
 
-    A start must not fail for a table that is full for a moment. Raises the call's errors.
+    A start must not fail because a table of this machine is full for a moment. Raises the errors of `call`.
     """
     give_up_at = monotonic() + max_duration_s
     while True:
--- a/ashpath/server/log_repair.py
+++ b/ashpath/server/log_repair.py
@@ -1,4 +1,4 @@
-"""Writes what the files of the state directory could not take, as soon as the disk takes it again."""
+"""Retries failed writes to the files of the state directory until the disk accepts them."""
 
 from __future__ import annotations
 
@@ -15,16 +15,18 @@
 
     @property
     def needs_repair(self) -> bool:
-        """Something is still to be written."""
+        """Whether data is still to be written."""
 
     def repair(self) -> bool:
-        """Writes it; False where the disk does not take it yet."""
+        """Writes the outstanding data. Returns False if the disk does not accept it yet."""
 
 
 class LogRepairer:
-    """Checks every `interval_s` seconds; logs once that the log is behind, and once that it is whole again.
+    """Repairs the write-ahead log every `interval_s` seconds. Logs once when the log falls behind, and once
+    when it is complete again.
 
-    `outcome_store` comes first: the log forgets a message only after its final state was stored there."""
+    `outcome_store` is repaired first, as the log may drop a message only after its final state was stored
+    there."""
 
     def __init__(
         self,
@@ -40,13 +42,13 @@
         self.behind = False
 
     def run(self) -> None:
-        """Never returns."""
+        """Checks at each interval. Never returns."""
         while True:
             gevent.sleep(self.interval_s)
             self.repair_if_behind()
 
     def repair_if_behind(self) -> None:
-        """Repairs what is behind."""
+        """Writes the outstanding data of the outcome store, then of the write-ahead log."""
         store = self.outcome_store
         if store is not None and store.needs_repair and not store.repair():
             return
--- a/ashpath/server/log_writer.py
+++ b/ashpath/server/log_writer.py
@@ -1,8 +1,8 @@
-"""Writes log lines to a descriptor, and never makes the sender wait or stop.
+"""Writes log lines to a descriptor without ever blocking or ending the sender.
 
-A full pipe would hold up every message, so a write that would block is put off: its lines wait here for the
-reader, up to `MAX_PENDING_BYTES`. Further lines are dropped and counted, and their number is logged once the
-reader reads again. A reader that is gone is written to no more.
+Blocking on a full pipe would delay every message, so a write that would block is postponed: its lines are
+buffered for the reader, up to `MAX_PENDING_BYTES`. Further lines are dropped and counted, and their number is
+logged once the reader reads again. After the reader has closed its end, nothing more is written.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 if TYPE_CHECKING:
     from ashpath.server.logs import Logger  # which imports this module
 
-MAX_PENDING_BYTES = 256 << 10  # of lines that wait for a reader
-MAX_WRITE_BYTES = 4096  # what a pipe that polls as writable takes without blocking
-RETRY_S = 0.25  # between tries at a reader that does not read
+MAX_PENDING_BYTES = 256 << 10  # of buffered lines
+MAX_WRITE_BYTES = 4096  # a pipe that polls as writable accepts this many without blocking
+RETRY_S = 0.25  # between tries to write to a reader that does not read
 
 
 class NonBlockingOutput:
-    """A descriptor that is written to without waiting, whatever it is: a file, a pipe, a socket."""
+    """A descriptor of any type (file, pipe or socket) that is written to without blocking."""
 
     def __init__(self, descriptor: int) -> None:
-        """Raises OSError where it is not open."""
+        """Raises OSError if the descriptor is not open."""
         self.descriptor = descriptor
         self.poll = poll()
         self.poll.register(descriptor, POLLOUT)
@@ -41,7 +41,8 @@
             self.socket = socket(AF_UNIX, SOCK_STREAM, fileno=os.dup(descriptor))
 
     def write(self, data: bytes) -> int:
-        """How many bytes of at most `MAX_WRITE_BYTES` were taken. Raises OSError where nobody reads."""
+        """Returns how many bytes of `data`, at most `MAX_WRITE_BYTES` long, were written. Raises OSError if
+        the reader has closed its end."""
         if self.socket is not None:
             try:
                 return self.socket.send(data, MSG_DONTWAIT)
@@ -56,20 +57,20 @@
 
 
 class LogWriter:
-    """Where structlog's lines end. `descriptor` None, or one that is not open: lines go nowhere."""
+    """Writes structlog's lines. If `descriptor` is None or not open, lines are discarded."""
 
     def __init__(self, descriptor: int | None) -> None:
         self.output: NonBlockingOutput | None = None
-        self.pending: deque[bytes] = deque()  # lines, the first perhaps cut; emptied as the reader reads
+        self.pending: deque[bytes] = deque()  # lines that wait; the first may be partly written
         self.pending_bytes = 0
-        self.dropped = 0  # lines since the last report
+        self.dropped = 0  # lines dropped since the last report
         self.blocked = Event()
         if descriptor is not None:
             with suppress(OSError):
                 self.output = NonBlockingOutput(descriptor)
 
     def msg(self, line: str) -> None:
-        """Writes one line, or lets it wait, or drops it."""
+        """Writes one line, buffers it, or drops it if the buffer is full."""
         if self.output is None:
             return
         data = line.encode("utf-8", "backslashreplace") + b"\n"
@@ -81,18 +82,18 @@
         if not self.flush():
             self.blocked.set()
 
-    debug = info = warning = error = critical = exception = msg  # what structlog calls, by the event's level
+    debug = info = warning = error = critical = exception = msg  # structlog calls these by the event's level
 
     def flush(self) -> bool:
-        """Writes what the reader takes; whether nothing waits any more."""
+        """Writes as much as the reader accepts. Returns whether the buffer is empty."""
         while self.pending and self.output is not None:
             data = self.pending[0]
             try:
                 written = self.output.write(data[:MAX_WRITE_BYTES])
             except OSError as error:
                 if not is_closed(error):
-                    return False  # a full disk, say: it is tried again
-                self.output = None  # nobody reads, now or later
+                    return False  # for example, a full disk: the write is retried
+                self.output = None  # the reader has closed its end for good
                 self.pending.clear()
                 return True
             if not written:
@@ -105,7 +106,8 @@
         return True
 
     def run(self, logger: Logger) -> None:
-        """Goes on writing once the reader reads, and logs how many lines it missed."""
+        """Writes buffered lines once the reader reads again, and logs how many lines were dropped. Never
+        returns."""
         while True:
             self.blocked.wait()
             self.blocked.clear()
--- a/ashpath/server/logs.py
+++ b/ashpath/server/logs.py
@@ -1,6 +1,7 @@
-"""The sender's log: structlog, in one of three forms, through a writer that never waits (`log_writer`).
+"""The sender's log: structlog, in one of three output formats, through a writer that never blocks
+(`log_writer`).
 
-Nothing of a body, a key or a secret is handed to it. docs/log-lines.md lists the events.
+Bodies, keys and secrets are never logged. docs/log-lines.md lists the events.
 """
 
 from __future__ import annotations
@@ -11,17 +12,18 @@
 
 from ashpath.server.log_writer import LogWriter
 
-# Where rich is installed structlog loads it, for tracebacks not drawn here: 50 ms and 3 MB of a start.
-imported_rich = sys.modules.setdefault("rich", None)  # type: ignore[arg-type]  # None: an import of it fails
-import structlog  # noqa: E402  # behind the line that hides rich from it
+# If rich is installed, structlog imports it to format tracebacks, which are plain text in this log. The
+# import would cost 50 ms and 3 MB at each start.
+imported_rich = sys.modules.setdefault("rich", None)  # type: ignore[arg-type]  # with None an import fails
+import structlog  # noqa: E402  # after rich is hidden
 
 if imported_rich is None:
     del sys.modules["rich"]
 
-Logger = structlog.typing.FilteringBoundLogger  # the type of every logger that is handed to a part
+Logger = structlog.typing.FilteringBoundLogger  # the type of the loggers of all parts
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-FIRST_KEYS = ["timestamp", "level", "sender", "event"]  # of a line in logfmt, in this order
+FIRST_KEYS = ["timestamp", "level", "sender", "event"]  # of a logfmt line, in this order
 RENDERERS: dict[str, Callable[[], structlog.typing.Processor]] = {
     "logfmt": lambda: structlog.processors.LogfmtRenderer(key_order=FIRST_KEYS),
     "json": lambda: structlog.processors.JSONRenderer(default=str),
@@ -30,22 +32,23 @@
 
 
 class LogFormat:
-    """Level and form of the lines, of `LEVELS` and `RENDERERS`; both may change in a running sender.
+    """The minimum level (of `LEVELS`) and the format (of `RENDERERS`) of the lines. Both may change in a
+    running sender.
 
-    It is the last of structlog's processors, and `filter_by_level` the first."""
+    An instance is the last of structlog's processors; its method `filter_by_level` is the first."""
 
     def __init__(self, level: str = "info", form: str = "logfmt") -> None:
         self.configure(level, form)
 
     def configure(self, level: str, form: str) -> None:
-        """Lines have that level at least, and that form, from now on."""
+        """Sets the minimum level and the format of all further lines."""
         self.min_level = LEVELS[level]
         self.renderer = RENDERERS[form]()
 
     def filter_by_level(
         self, _: structlog.typing.WrappedLogger, method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
-        """A structlog processor. Raises DropEvent where the level is too low."""
+        """A structlog processor. Raises DropEvent if the level is below the minimum."""
         if LEVELS.get(method, logging.ERROR) < self.min_level:
             raise structlog.DropEvent
         return event
@@ -53,7 +56,8 @@
     def __call__(
         self, logger: structlog.typing.WrappedLogger, method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.ProcessorReturnValue:
-        """A structlog processor: the line. A value that cannot be written must not end what logged it."""
+        """A structlog processor that renders the line. A value that cannot be rendered must not raise an
+        error in the code that logs it."""
         try:
             return self.renderer(logger, method, event)
         except Exception as error:
@@ -61,7 +65,8 @@
 
 
 def create_logger(sender_name: str, log_format: LogFormat) -> tuple[Logger, LogWriter]:
-    """The sender's log on standard output, and what writes its lines: its `run` is to be spawned."""
+    """Creates the sender's logger, which writes to standard output, and the writer of its lines. The caller
+    spawns the writer's `run`."""
     writer = LogWriter(standard_output())
     structlog.configure(
         processors=[
@@ -78,7 +83,7 @@
 
 
 def standard_output() -> int | None:
-    """Its descriptor; None where it is closed."""
+    """Returns the descriptor of standard output, or None if it is closed."""
     try:
         return None if sys.stdout is None else sys.stdout.fileno()
     except (OSError, ValueError):
--- a/ashpath/server/message_restoration.py
+++ b/ashpath/server/message_restoration.py
@@ -1,4 +1,5 @@
-"""Gives the policy the messages that a previous incarnation, or a process that is gone, left unfinished."""
+"""Restores to the policy the unfinished messages of a previous incarnation or of another process that
+ended."""
 
 from __future__ import annotations
 
@@ -13,19 +14,19 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import now, stored_time
 
-LONG_AGO_US = 10**15  # past any window
+LONG_AGO_US = 10**15  # microseconds; longer than any deduplication window
 
 
 class RestoredMessage(Struct, frozen=True):
-    """A message with what is known of its attempts."""
+    """A message, and what the write-ahead log has on its attempts."""
 
     message: StoredMessage
     time_left: int
-    """Microseconds to its deadline; negative when it has passed."""
+    """Microseconds to the message's deadline; negative after the deadline."""
     previous: PreviousAttempts
 
     def report(self, policy: DeliveryPolicy) -> None:
-        """Reports it to the policy, within a batch."""
+        """Reports the message to the policy, within a batch."""
         message = self.message
         policy.restore(
             message.message_id,
@@ -38,7 +39,7 @@
 
 
 class MessageRestorer:
-    """Reads stored messages: those that are over only have to be notified of."""
+    """Restores stored messages. A finished message only has its notification outstanding."""
 
     def __init__(self, write_ahead_log: WriteAheadLog, notifier: Notifier) -> None:
         self.write_ahead_log = write_ahead_log
@@ -47,7 +48,10 @@
     def restore(
         self, stored: Sequence[StoredMessage], messages: dict[int, StoredMessage]
     ) -> list[RestoredMessage]:
-        """Those that the policy has to finish, which `messages` gets too, in the order accepted."""
+        """Returns the messages that the policy has to finish, in the order of acceptance, and adds them to
+        `messages`.
+
+        Finished messages go to the notifier."""
         restored = []
         for message in stored:
             if message.finished:
@@ -59,14 +63,17 @@
         return restored
 
     def _previous_attempts(self, message: StoredMessage) -> PreviousAttempts:
-        """An attempt that was in flight has no outcome any more: it may have run, and is recorded so."""
+        """Returns what the policy has to know of earlier attempts.
+
+        The outcome of an attempt that was in flight is lost: the attempt may have run, and is recorded as
+        such."""
         unresolved = message.in_flight_since is not None
         if unresolved:
             self.write_ahead_log.record_outcome(message, may_have_run=True)
         first_run_at = None
         if message.first_run_at is not None:
             elapsed = stored_time() - message.first_run_at
-            # In the future only on a boot with an earlier wall clock: how long ago it was nobody knows, and a
-            # window that may be over is.
+            # A run lies in the future only if the machine booted with an earlier wall clock. The time since
+            # that run is unknown then, and its deduplication window counts as over, as it may be.
             first_run_at = now() - (elapsed if elapsed >= 0 else LONG_AGO_US)
         return PreviousAttempts(message.attempts, first_run_at, message.first_run_endpoint, unresolved)
--- a/ashpath/server/operator_commands.py
+++ b/ashpath/server/operator_commands.py
@@ -1,7 +1,8 @@
-"""What the commands at the operators' address do. None of them waits.
+"""Executes the commands that operators send to the control address. No command blocks.
 
-The decision of what a detached endpoint means is the policy's; the list outlives the process in the state
-directory, and the other process of a hot upgrade learns of a change through the shared memory.
+The policy decides what a detached endpoint means. The list of detached endpoints is stored in the state
+directory and outlives the process; the other process of a hot upgrade is notified of a change through the
+shared memory.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class OperatorCommands:
-    """Carries out operators' commands; a `CommandHandler`."""
+    """Executes operators' commands. Implements `CommandHandler`."""
 
     def __init__(
         self,
@@ -29,7 +30,8 @@
         self.detached_endpoints = detached_endpoints
 
     def handle(self, command: OperatorCommand) -> CommandResult:
-        """Carries out one command; never raises for what an operator may ask."""
+        """Executes one command. Returns a result, and raises no error, for every command that an operator can
+        send."""
         if isinstance(command, EndpointCommand):
             return self.set_detached(command.endpoint_id, detached=command.verb is Verb.DETACH)
         if command.verb is Verb.LAMEDUCK:
@@ -38,10 +40,11 @@
         if command.verb is Verb.REJOIN:
             self.listener.set_lame_duck(enabled=False)
             return CommandResult(succeeded=True, message="ending" if self.listener.closing else "ready")
-        return CommandResult(succeeded=True)  # PING: the address listens once the write-ahead log is restored
+        return CommandResult(succeeded=True)  # PING: the address listens only after the log is restored
 
     def set_detached(self, endpoint: str, *, detached: bool) -> CommandResult:
-        """Detaches an endpoint, or attaches it again. One that is so already is left as it is."""
+        """Detaches an endpoint, or attaches it again. Succeeds without a change if the endpoint is already in
+        that state."""
         known = self.policy_runner.policy.detached
         if endpoint not in self.registry.records and endpoint not in known:
             return CommandResult(succeeded=False, message=f"unknown endpoint {endpoint}")
--- a/ashpath/server/optional_services.py
+++ b/ashpath/server/optional_services.py
@@ -1,6 +1,7 @@
-"""Services that a configuration may switch on, and off again, while the sender runs: gossip and metrics.
+"""Services that a configuration may switch on and off while the sender runs: gossip and metrics.
 
-Each module is imported as its service is first switched on: what is not configured costs no memory.
+The module of a service is imported when the service is first switched on, so that an unused service needs no
+memory.
 """
 
 from __future__ import annotations
@@ -29,16 +30,17 @@
 
 
 class GossipService:
-    """Messages between the senders of a fleet, where the configuration names others."""
+    """Gossip between the senders of a fleet, if the configuration names other senders."""
 
     def __init__(self, policy_runner: PolicyRunner, link: GossipLink, logger: Logger) -> None:
         self.policy_runner = policy_runner
         self.link = link
         self.logger = logger
-        self.gossip: Gossip | None = None  # from the first address on
+        self.gossip: Gossip | None = None  # created with the first address
 
     def configure(self, listen: Address | None, peers: frozenset[Address]) -> None:
-        """Moves to an address, or to none. Where it is in use, which is logged, the one before serves on."""
+        """Changes the listen address; None stops gossip. If the address is in use, logs the error and keeps
+        the previous address."""
         if self.gossip is None and listen is not None:
             from ashpath.server.gossip import Gossip
 
@@ -52,7 +54,7 @@
 
 
 class SenderMetricsSource(Struct, frozen=True):
-    """What metrics are read off; a `MetricsSource`."""
+    """The parts of a sender from which metrics are read. Implements `MetricsSource`."""
 
     running: RunningConfiguration
     policy_runner: PolicyRunner
@@ -63,27 +65,29 @@
 
     @property
     def gossip(self) -> Gossip | None:
-        """None until it is first switched on."""
+        """The gossip socket; None until gossip is first switched on."""
         return self.gossip_service.gossip
 
     def traffic_class_name(self, traffic_class: int) -> str:
-        """As the running settings name it; empty where they have no such number."""
+        """Returns the name of a traffic class in the current settings; empty if they have no traffic class of
+        that number."""
         rows = self.running.current.settings.document["classes"]
         return str(rows[traffic_class]["name"]) if traffic_class < len(rows) else ""
 
 
 class MetricsService:
-    """Metrics for Prometheus, where the configuration names an address. They are read off `source`."""
+    """Serves metrics for Prometheus, which are read from `source`, if the configuration names an address."""
 
     def __init__(self, source: MetricsSource, recorder: OutcomeRecorder, retry_interval_s: float) -> None:
         self.source = source
         self.recorder = recorder
         self.retry_interval_s = retry_interval_s
-        self.metrics: Metrics | None = None  # from the first address on
+        self.metrics: Metrics | None = None  # created with the first address
         self.configured_address: Address | None = None
 
     def configure(self, listen: Address | None) -> None:
-        """Moves to an address, or to none. Raises OSError where it is in use: the one before serves on."""
+        """Changes the listen address; None stops the service. Raises OSError if the address is in use; the
+        previous address stays in use then."""
         self.configured_address = listen
         if self.metrics is None and listen is not None:
             from ashpath.server.metrics.metrics import Metrics
@@ -94,8 +98,9 @@
             self.recorder.use_metrics(self.metrics.counters if listen else None)
 
     def start(self, listen: Address | None, *, other_process: bool) -> None:
-        """The first address. Raises `MetricsAddressError` where it is in use, except where the other process
-        of a hot upgrade has it: then it is tried again until that ends."""
+        """Sets the first address. Raises `MetricsAddressError` if the address is in use. If `other_process`
+        is set, the other process of a hot upgrade may hold the address, which is then retried until that
+        process ends."""
         try:
             self.configure(listen)
         except OSError as error:
@@ -104,7 +109,7 @@
             gevent.spawn(self.retry)
 
     def retry(self) -> None:
-        """Tries until the address is free, or the configuration names another."""
+        """Retries until the address is free, or the configuration names another one."""
         while self.metrics is not None and self.metrics.address != self.configured_address:
             with suppress(OSError):
                 self.configure(self.configured_address)
--- a/ashpath/server/platform_deployment.py
+++ b/ashpath/server/platform_deployment.py
@@ -2,7 +2,7 @@
 
 The environment has RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY, RELAY_STATE and RELAY_CONFIG, and may have
 RELAY_CONTROL and, in a hot upgrade, RELAY_ACCEPT_FD, the descriptor of the clients' listening socket. Exit
-codes: 0 after a graceful shutdown, 1 where an address cannot be listened on, 2 where the environment or the
+codes: 0 after a graceful shutdown, 1 if an address cannot be listened on, 2 if the environment or the
 configuration cannot be used.
 """
 
@@ -48,17 +48,17 @@
 
 
 class PlatformEnvironment(Struct, frozen=True):
-    """What the platform's agent starts a sender with."""
+    """The environment in which the platform's agent starts a sender."""
 
     name: str
     discovery: str
-    """The address of the discovery service; the file's comes first."""
+    """The address of the discovery service. The address in the configuration file takes precedence."""
     configuration_file: Path
     process_options: ProcessOptions
 
     @classmethod
     def read(cls) -> PlatformEnvironment:
-        """Raises `StartupError`."""
+        """Reads the environment variables. Raises `StartupError` if one is missing or invalid."""
         name = environment_variable("RELAY_NAME")
         listen = environment_variable("RELAY_LISTEN")
         discovery = environment_variable("RELAY_DISCOVERY")
@@ -69,13 +69,13 @@
         return cls(name, discovery, configuration_file, process_options)
 
     def read_configuration(self) -> SenderConfiguration:
-        """Raises `StartupError`, or one of `UNUSABLE_CONFIGURATION_ERRORS`."""
+        """Reads the configuration file. Raises `StartupError`, or one of `UNUSABLE_CONFIGURATION_ERRORS`."""
         document = orjson.loads(self.configuration_file.read_bytes())
         return SenderConfiguration.parse(document, self.discovery)
 
 
 def environment_variable(name: str) -> str:
-    """Raises `StartupError` where it is missing or empty."""
+    """Returns the value of a variable. Raises `StartupError` if it is missing or empty."""
     value = os.environ.get(name)
     if not value:
         raise MissingVariableError(name)
@@ -83,7 +83,9 @@
 
 
 def inherited_descriptor() -> int | None:
-    """The clients' listening socket, where the platform hands one down. Raises `StartupError`."""
+    """Returns the descriptor of the clients' listening socket, or None if the process inherits none.
+
+    Raises `StartupError` if RELAY_ACCEPT_FD is not the number of an open socket."""
     text = os.environ.get("RELAY_ACCEPT_FD") or None
     if text is None:
         return None
@@ -93,7 +95,7 @@
 
 
 def is_open_socket(descriptor: int) -> bool:
-    """False also where it is not open."""
+    """Returns whether the descriptor is open and a socket."""
     try:
         return stat.S_ISSOCK(os.fstat(descriptor).st_mode)
     except OSError:
@@ -101,7 +103,9 @@
 
 
 def control_address() -> str:
-    """The operators' address; empty where the environment has none. Raises `StartupError`."""
+    """Returns the address for operators' commands, or an empty text if the environment has none.
+
+    Raises `StartupError` if RELAY_CONTROL is not an address."""
     text = os.environ.get("RELAY_CONTROL", "")
     if text:
         try:
@@ -112,30 +116,31 @@
 
 
 class PlatformDeployment:
-    """The platform's agent is notified of final outcomes, and nobody asks for them; a `Deployment`."""
+    """Notifies the platform's agent of final outcomes, and has no status API. Implements `Deployment`."""
 
     def __init__(self, state: Path, agent: Address) -> None:
         self.traffic_class_ids = TrafficClassIds(state)
         self.agent = agent
 
     def create_outcome_store(self, limits: ServerLimits, logger: Logger) -> None:
-        """None: see `Deployment`."""
+        """Returns None: see `Deployment`."""
 
     def create_notifier(
         self, limits: ServerLimits, write_ahead_log: WriteAheadLog, backoff: Backoff, logger: Logger
     ) -> Notifier:
-        """To the agent's address."""
+        """Returns a notifier that sends to the agent's address."""
         return HttpNotifier(NotificationReceiver(self.agent), limits, write_ahead_log, logger, backoff)
 
     def create_status_api(
         self, policy_runner: PolicyRunner, outcome_store: OutcomeStore | None, names: list[str]
     ) -> None:
-        """None: see `Deployment`."""
+        """Returns None: see `Deployment`."""
 
     def restore_traffic_class_ids(
         self, configuration: SenderConfiguration, *, has_live_messages: bool
     ) -> SenderConfiguration:
-        """The ids are stored from the first settings switch on, and forgotten once no message is left."""
+        """See `Deployment`. The ids are stored from the first settings switch on, and deleted at a start
+        without live messages."""
         known = self.traffic_class_ids.read()
         restored = configuration.with_traffic_class_ids(
             known, has_live_messages=has_live_messages and bool(known)
@@ -145,12 +150,12 @@
         return restored
 
     def store_traffic_class_ids(self, configuration: SenderConfiguration) -> None:
-        """Raises OSError."""
+        """See `Deployment`."""
         self.traffic_class_ids.write(configuration.settings.document["classes"])
 
 
 def create_runtime() -> tuple[SenderRuntime, LogWriter]:
-    """Of the environment. Raises `StartupError`."""
+    """Creates a sender and its runtime from the environment. Raises `StartupError`."""
     environment = PlatformEnvironment.read()
     logger, log_writer = create_logger(environment.name, LogFormat())
     try:
@@ -173,7 +178,8 @@
 
 
 def main(pending_hangups: Sequence[int] = ()) -> int:
-    """The exit code. `pending_hangups`: SIGHUPs that came while modules were loaded."""
+    """Runs a sender and returns the exit code. `pending_hangups`: SIGHUPs that arrived while modules were
+    imported."""
     try:
         runtime, log_writer = create_runtime()
     except StartupError as error:
--- a/ashpath/server/policy_actions.py
+++ b/ashpath/server/policy_actions.py
@@ -1,8 +1,9 @@
 """The policy's actions on sockets and on disk: queued while the policy decides, performed after its batch.
 
-Within a batch no greenlet may switch, so an action only appends a bound call here. `perform` makes the calls
-right after the batch, in the order of the policy's actions: a record is written before what depends on it is
-sent. What an action refers to (a message, an attempt) is looked up as the policy asks, not as it is done.
+No greenlet may switch within a batch, so an action only appends a bound call to the queue. `perform` makes
+the calls right after the batch, in the order of the policy's actions, so that a record is written before
+anything that depends on the record is sent. The message or attempt of an action is looked up when the action
+is queued, not when the action is performed.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 from ashpath.server.timers import Timers
 
 Action = Callable[[], None]
-"""A bound call, with its arguments checked where it is queued."""
+"""A bound call, whose arguments are type-checked where the call is queued."""
 
 
 class AttemptStarter(Protocol):
-    """Who records an attempt and starts it."""
+    """Records attempts and starts them."""
 
     def begin_attempt(self, message: StoredMessage, endpoint_id: str, timeout: int) -> None:
-        """Starts an attempt that may take `timeout` microseconds; does not switch."""
+        """Starts an attempt that may take `timeout` microseconds. Does not switch greenlets."""
 
 
 class QueuedActions:
-    """Implements `PolicyActions`. `messages` and `attempts` are the policy runner's, by message id."""
+    """Implements `PolicyActions`. `messages` and `attempts`, by message id, belong to the policy runner."""
 
     def __init__(
         self,
@@ -61,11 +62,11 @@
         self._queue: list[Action] = []
 
     def apply_settings(self, settings: PolicySettings) -> None:
-        """The policy's new settings, for modes that change from now on."""
+        """Uses the policy's new settings for later mode changes."""
         self.settings = settings
 
     def perform(self) -> None:
-        """Performs what is queued, and what that queues in turn."""
+        """Performs the queued actions, and the actions that these queue in turn."""
         while self._queue:
             actions = self._queue
             self._queue = []
@@ -78,17 +79,17 @@
         self._queue.append(partial(self.starter.begin_attempt, message, endpoint_id, timeout))
 
     def reject(self, message_id: int, retry_after: int) -> None:
-        """See `PolicyActions`; the message leaves `messages` at once."""
+        """See `PolicyActions`. The message is removed from `messages` at once."""
         message = self.messages.pop(message_id)
         self._queue.append(partial(self.recorder.record_rejected, message, retry_after))
 
     def fail(self, message_id: int) -> None:
-        """See `PolicyActions`; the message leaves `messages` at once."""
+        """See `PolicyActions`. The message is removed from `messages` at once."""
         message = self.messages.pop(message_id)
         self._queue.append(partial(self.recorder.record_failed, message))
 
     def cancel_attempt(self, message_id: int, attempt: int) -> None:
-        """See `PolicyActions`; a message has one attempt at a time, whose number does not matter here."""
+        """See `PolicyActions`. The attempt number is not needed, as a message has one attempt at a time."""
         in_flight = self.attempts.get(message_id)
         if in_flight is not None:
             self._queue.append(in_flight.cancel)
@@ -98,18 +99,18 @@
         self._queue.append(partial(self.pool.close_idle, endpoint_id))
 
     def schedule_timer(self, at: int, token: str) -> None:
-        """See `PolicyActions`; not queued, as it switches nothing."""
+        """See `PolicyActions`. Not queued, as scheduling a timer does not switch greenlets."""
         self.timers.add(at, token)
 
     def poll_endpoints(self) -> None:
-        """The discovery client polls by itself."""
+        """See `PolicyActions`. Does nothing, as the discovery client polls on its own schedule."""
 
     def publish(self, message: bytes) -> None:
         """See `PolicyActions`."""
         self._queue.append(partial(self.gossip.publish, message))
 
     def mode_changed(self, text: str, destination: int, endpoint_id: str, down: bool, rate: float) -> None:
-        """See `PolicyActions`; logged at once."""
+        """See `PolicyActions`. The change is logged at once; storing the outage is queued."""
         self.logger.info("mode changed", change=text)
         warm_up_time = self.settings.warm_up_time
         self._queue.append(
--- a/ashpath/server/policy_batch.py
+++ b/ashpath/server/policy_batch.py
@@ -1,15 +1,15 @@
-"""One batch of the policy: events that came together, what the other process published, and the actions.
+"""One batch of the policy: events that arrived together, what the other process published, and the actions.
 
     with batch as policy:
         policy.submit(...)
 
-A batch opens with the time, takes the events of its body, then what another process of a hot upgrade has
-published since the last batch, and closes: the policy re-evaluates and queues its actions, which are
-performed at once. Between opening and closing no greenlet switches, so no batch sees another's half. An
-exception in the body leaves the batch without closing it.
+`__enter__` begins the batch at the current time. The body reports events. `__exit__` then applies what
+another process of a hot upgrade has published since the last batch, and ends the batch: the policy
+re-evaluates and queues its actions, which are performed at once. No greenlet switches between the begin and
+the end, so that batches never interleave. An exception in the body leaves the batch without ending it.
 
-What the other process published is read as the batch opens and taken after the body, which may list the very
-endpoints, and before the close, which sends.
+What the other process published is read when the batch begins. It is applied after the body, because the body
+may list the endpoints concerned, and before the end of the batch, because that is when attempts start.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 
 
 class RetryAfter(Struct, frozen=True):
-    """A wait that an endpoint named to the other process."""
+    """A Retry-After that the other process received from an endpoint."""
 
     destination: int
     endpoint_id: str
     until: int
-    """Microseconds of this process's monotonic clock."""
+    """In microseconds of this process's monotonic clock."""
 
 
 class Detachment(Struct, frozen=True):
-    """An endpoint that an operator detached or attached at the other process."""
+    """An endpoint that an operator detached or attached through the other process."""
 
     endpoint_id: str
     detached: bool
     record: EndpointRecord | None
-    """As last listed here."""
+    """The endpoint as this process last saw it listed; None if it is not listed."""
 
 
 class SharedUpdates(Struct, frozen=True):
@@ -52,7 +52,7 @@
     detachments: tuple[Detachment, ...]
 
     def apply(self, policy: DeliveryPolicy) -> None:
-        """Reports all of it to the policy, within a batch."""
+        """Reports the updates to the policy, within a batch."""
         for retry_after in self.retry_afters:
             policy.retry_after_received(retry_after.destination, retry_after.endpoint_id, retry_after.until)
         for detachment in self.detachments:
@@ -60,7 +60,7 @@
 
 
 class SharedUpdateReader:
-    """Reads what the other process of a hot upgrade publishes."""
+    """Reads the updates that the other process of a hot upgrade publishes."""
 
     def __init__(
         self,
@@ -73,11 +73,12 @@
         self.registry = registry
 
     def pending(self) -> bool:
-        """Whether something was published since the last `read`."""
+        """Returns whether an update was published since the last `read`."""
         return self.shared_memory.changed()
 
     def read(self, detached: set[str]) -> SharedUpdates:
-        """What was published since the last call. `detached`: the endpoints that are detached here."""
+        """Returns what was published since the last call. `detached`: endpoints that are detached in this
+        process."""
         monotonic_time = now()
         wall_time = stored_time()
         published = self.shared_memory.updates(wall_time)
@@ -96,7 +97,7 @@
 
 
 class PolicyBatch:
-    """The context manager of each batch; one serves all, as batches never overlap."""
+    """The context manager of a batch. One instance serves all batches, as they never overlap."""
 
     def __init__(self, policy: DeliveryPolicy, actions: QueuedActions, shared: SharedUpdateReader) -> None:
         self.policy = policy
--- a/ashpath/server/policy_runner.py
+++ b/ashpath/server/policy_runner.py
@@ -1,17 +1,18 @@
-"""Runs the policy on sockets: reports events to it, one batch each, and owns the attempts it starts.
+"""Runs the policy on sockets: reports each event to the policy in a batch of its own, and owns the attempts
+that the policy starts.
 
-The path of a message, each step a call that can be followed from here:
+The path of a message, step by step, with the calls that make it up:
 
 | step | call |
 | --- | --- |
-| a request was read and stored | `Admission.admit` -> `PolicyRunner.submit` |
+| a request has been read and stored | `Admission.admit` -> `PolicyRunner.submit` |
 | the policy decides | `PolicyBatch` -> `DeliveryPolicy.submit`, `end_batch` |
-| it starts an attempt | `QueuedActions.start_attempt` -> `PolicyRunner.begin_attempt` |
+| the policy starts an attempt | `QueuedActions.start_attempt` -> `PolicyRunner.begin_attempt` |
 | the attempt runs | `AttemptRunner.start`, which asks `PolicyRunner.still_valid` before the first byte |
-| it ends | `ResponseClassifier.classify` -> `PolicyRunner.attempt_finished` -> `OutcomeRecorder` |
+| the attempt ends | `ResponseClassifier.classify` -> `PolicyRunner.attempt_finished` -> `OutcomeRecorder` |
 | the policy decides again | `QueuedActions.start_attempt`, or `reject`, `fail` -> `OutcomeRecorder` |
 
-The policy's actions are performed after the batch that asked for them, see `policy_actions`.
+The policy's actions are performed after the batch that queued them, see `policy_actions`.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 
 class PolicyRunner:
-    """Owns the policy, the messages it has not finished, and its attempts in flight."""
+    """Owns the policy, the unfinished messages and the attempts in flight."""
 
     def __init__(
         self,
@@ -62,14 +63,15 @@
         self.outage_store = outage_store
         self.logger = logger
         self.messages: dict[int, StoredMessage] = {}
-        """Accepted and not finished, by message id; each leaves with its final state."""
+        """Accepted, unfinished messages by message id. A message is removed with its final outcome."""
         self.attempts: dict[int, Attempt] = {}
-        """In flight, by message id; each leaves with its outcome."""
+        """Attempts in flight by message id. An attempt is removed with its outcome."""
         self.abandoned: set[int] = set()
-        """Ids of messages whose client left while an attempt was in flight; each leaves with its outcome."""
-        self.stopped = False
-        self.recording_failed = False  # the last attempt was not recorded: said once
-        """No attempt is started any more: what is left is for the next incarnation."""
+        """Ids of messages whose client disconnected while an attempt was in flight. An id is removed with the
+        outcome of that attempt."""
+        self.stopped = False  # if True, no attempt is started: the next incarnation restores what is queued
+        self.recording_failed = False
+        """Whether the last attempt could not be recorded. Only the first failure in a row is logged."""
         self.timers = Timers(self)
         pool = attempt_runner.pool
         self.actions = QueuedActions(
@@ -89,11 +91,12 @@
         self._batch = PolicyBatch(self.policy, self.actions, self._shared)
         self._restorer = MessageRestorer(write_ahead_log, recorder.notifier)
 
-    # Events: each is one batch.
+    # Events. Each is reported in one batch.
 
     def restore(self, records: list[EndpointRecord], detached: Iterable[str] = ()) -> None:
-        """A start: operators' detached endpoints, the endpoint list as last known, outages of the previous
-        incarnation, then the messages it left, in the order accepted."""
+        """Restores the state at a start, in this order: the endpoints that operators detached, the last known
+        endpoint list, the outages of the previous incarnation, and its unfinished messages in the order of
+        acceptance."""
         outages = self.outage_store.active()
         restored = self._restorer.restore(list(self.write_ahead_log.messages.live.values()), self.messages)
         with self._batch as policy:
@@ -106,36 +109,39 @@
                 message.report(policy)
 
     def adopt(self, messages: Sequence[StoredMessage]) -> None:
-        """Messages of a process that is gone, after a hot upgrade, in the order accepted."""
+        """Restores the messages of a process that ended after a hot upgrade, in the order of acceptance."""
         restored = self._restorer.restore(messages, self.messages)
         with self._batch as policy:
             for message in restored:
                 message.report(policy)
 
     def set_detached(self, endpoint_id: str, *, detached: bool, record: EndpointRecord | None) -> None:
-        """An operator detached the endpoint, or attached it again as in `record`."""
+        """Reports that an operator detached the endpoint, or attached it again with the properties in
+        `record`."""
         with self._batch as policy:
             policy.set_detached(endpoint_id, detached=detached, row=record)
 
     def update_endpoints(self, records: list[EndpointRecord], *, complete: bool) -> None:
-        """The endpoint list changed; `complete`: the records take the place of all."""
+        """Reports a change of the endpoint list. If `complete` is set, the records replace all others."""
         with self._batch as policy:
             policy.update_endpoints(records, complete=complete)
 
     def apply_settings(self, settings: PolicySettings, records: list[EndpointRecord]) -> None:
-        """New settings, and the endpoint list again, as kinds may have other routes now."""
+        """Applies new settings, and reports the endpoint list again, as the routes of a kind may have
+        changed."""
         with self._batch as policy:
             self.actions.apply_settings(settings)
             policy.apply_settings(settings)
             policy.update_endpoints(records, complete=True)
 
     def receive_gossip(self, message: bytes) -> None:
-        """Another sender published it."""
+        """Reports a gossip message that another sender published."""
         with self._batch as policy:
             policy.receive_gossip(message)
 
     def submit(self, message: StoredMessage) -> SubmitResult:
-        """A client's message, which the write-ahead log has by now: what to answer that client."""
+        """Reports a client's message, which is already in the write-ahead log; returns the result for the
+        client."""
         self.messages[message.message_id] = message
         time_left = message.deadline - stored_time()
         with self.recorder.submission(message) as submission, self._batch as policy:
@@ -149,14 +155,16 @@
         return submission.result
 
     def client_disconnected(self, message: StoredMessage) -> None:
-        """Its client left before the response that it was accepted was out: the message is cancelled."""
+        """Cancels a message whose client disconnected before the response that confirms the acceptance was
+        sent."""
         message_id = message.message_id
         if self.messages.pop(message_id, None) is None:
             return
         self.recorder.record_cancelled(message)
         if message_id in self.attempts:
-            # The attempt may run yet. While it is in flight the same message is not accepted beside it, and a
-            # further incarnation knows of it, for the order of its key.
+            # The endpoint may still run the attempt. The message stays in the write-ahead log while the
+            # attempt is in flight: a second submission of the message is not accepted, and the next
+            # incarnation keeps the order of its ordering key.
             self.abandoned.add(message_id)
         else:
             self.write_ahead_log.record_finished(message)
@@ -164,7 +172,7 @@
             policy.client_disconnected(message_id)
 
     def timers_fired(self, tokens: list[str]) -> None:
-        """Timers that the policy scheduled are due."""
+        """Reports due timers that the policy scheduled."""
         with self._batch as policy:
             for token in tokens:
                 policy.timer_fired(token)
@@ -172,11 +180,11 @@
     # Attempts.
 
     def stop_attempts(self) -> None:
-        """From now on none is started; those in flight go on."""
+        """Starts no further attempt; attempts in flight continue."""
         self.stopped = True
 
     def begin_attempt(self, message: StoredMessage, endpoint_id: str, timeout: int) -> None:
-        """Records the attempt, then starts it: unrecorded, it could run twice after a restart."""
+        """Records the attempt, then starts it. An unrecorded attempt could run twice after a restart."""
         if self.stopped:
             return
         traffic_class = self.policy.traffic_classes[message.traffic_class]
@@ -192,8 +200,8 @@
             self.attempt_runner.start(attempt, self)
 
     def _report_unrecorded(self, attempt: Attempt, error: OSError) -> None:
-        """Reports it as not sent, but not in this batch: the policy would start it again at once, until it
-        had no attempt left."""
+        """Reports the attempt as not sent after a pause of `retry_s`. If it were reported at once, the policy
+        would start the next attempt immediately, until the message had no attempt left."""
         if not self.recording_failed:
             self.logger.error("attempt not recorded", error=str(error))
         self.recording_failed = True
@@ -201,11 +209,11 @@
         gevent.spawn_later(pause_s, self._report_result, attempt, NOT_SENT)
 
     def still_valid(self, message: StoredMessage) -> bool:
-        """See `AttemptOwner`. Guards a Retry-After and a detached endpoint that the other process published a
-        moment ago."""
+        """See `AttemptOwner`. Takes into account a Retry-After or a detached endpoint that the other process
+        published since the last batch."""
         if self._shared.pending():
             with self._batch:
-                pass  # a batch takes what was published
+                pass  # every batch applies what the other process published
         return self.policy.still_valid(message.message_id, now())
 
     def attempt_finished(self, attempt: Attempt, result: AttemptResult) -> None:
--- a/ashpath/server/reload.py
+++ b/ashpath/server/reload.py
@@ -1,10 +1,10 @@
-"""SIGHUP: reads the configuration anew, and moves the running sender to it.
+"""SIGHUP: reads the configuration again and applies it to the running sender.
 
-Theory of operation: `ReloadService` waits for the signal and calls a `Reloader`, which reads and applies.
-What cannot be read or applied is one line in the log, and the previous configuration still serves. The two
-deployments differ in what else a configuration has and in the order of the steps: `PlatformReloader` here,
-`StandaloneReloader` in `cli/standalone_deployment.py`; the step they share is `SettingsSwitch`. Signals that
-come during a reload are one further reload.
+Theory of operation: `ReloadService` waits for the signal and calls a `Reloader`, which reads and applies the
+configuration. A configuration that cannot be read or applied is logged in one line, and the previous one
+stays in effect. The two deployments differ in their additional settings and in the order of the steps:
+`PlatformReloader` in this module, `StandaloneReloader` in `cli/standalone_deployment.py`. `SettingsSwitch` is
+the step that both share. Signals that arrive during a reload cause one further reload.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 
 class Reloader(Protocol):
-    """One reload, whole."""
+    """Performs one complete reload."""
 
     def reload(self) -> None:
-        """Raises `ConfigurationError` where the configuration cannot be read, and OSError where it cannot be
-        applied; nothing was switched then."""
+        """Raises `ConfigurationError` if the configuration cannot be read, and OSError if it cannot be
+        applied. In both cases the previous settings stay in effect."""
         ...
 
 
 class ReloadService:
-    """Reloads as often as it is requested."""
+    """Reloads the configuration each time a reload is requested."""
 
     def __init__(self, reloader: Reloader, logger: Logger) -> None:
         self.reloader = reloader
@@ -47,20 +47,20 @@
         self.requested = Event()
 
     def run(self) -> None:
-        """Never returns."""
+        """Waits for requests and performs the reloads. Never returns."""
         while True:
             self.requested.wait()
             self.requested.clear()
             try:
                 self.reloader.reload()
-            except ConfigurationError as error:  # half written, say
+            except ConfigurationError as error:  # for example, a partly written file
                 self.logger.error("configuration not read", error=str(error))  # noqa: TRY400 - one line is enough
             except OSError as error:
                 self.logger.error("configuration not applied", error=str(error))  # noqa: TRY400 - as above
 
 
 class SettingsSwitch:
-    """Makes the settings of another configuration the running ones."""
+    """Puts the settings of another configuration into effect."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         logger: Logger,
     ) -> None:
         self.running = running
-        self.limits = running.current.limits  # of the process, up to its end
+        self.limits = running.current.limits  # fixed until the process ends
         self.deployment = deployment
         self.registry = registry
         self.pool = pool
@@ -86,26 +86,28 @@
         self.logger = logger
 
     def apply(self, configuration: SenderConfiguration) -> None:
-        """New settings for what is accepted from now on; the way back is the same step. Raises OSError where
-        traffic class ids cannot be stored, and nothing is switched then."""
+        """Applies the settings to messages that are accepted from now on. Returning to earlier settings takes
+        the same step. Raises OSError if the traffic class ids cannot be stored; the previous settings stay in
+        effect then."""
         running = self.running.current
         if configuration.raw_settings != running.raw_settings:
             self.switch(configuration.aligned_with(running))
         try:
             self.metrics.configure(configuration.metrics_listen)
-        except OSError as error:  # the one before serves on
+        except OSError as error:  # the previous address stays in use
             reason = str(error.strerror or error)
             self.logger.error("metrics address not changed", error=reason)  # noqa: TRY400 - one line is enough
-        # Also where nothing changed: an address that was in use may be free by now.
+        # Repeated even if nothing changed, as an address that was in use may be free by now.
         self.gossip.configure(configuration.gossip_listen, configuration.gossip_peers)
 
     def switch(self, configuration: SenderConfiguration) -> None:
-        """In one batch of the policy. Queued messages keep the settings they were accepted under, and
-        attempts in flight end at the gate they went through."""
+        """Switches the settings in one batch of the policy. Queued messages keep the settings under which
+        they were accepted, and attempts in flight are accounted at the gate that admitted them."""
         self.deployment.store_traffic_class_ids(configuration)
         self.running.current = configuration
         settings = configuration.settings
-        # Descriptors are shared out at the start: no more attempts than connections until the next one.
+        # Descriptors are allotted only at a start: until the next start, attempts must not outnumber
+        # connections.
         policy_settings = replace(
             settings.policy_settings,
             max_in_flight=min(settings.policy_settings.max_in_flight, self.limits.endpoint_connections),
@@ -132,8 +134,8 @@
 
 
 class PlatformReloader:
-    """Under the platform's agent: it may be elsewhere, and settings may be new. Limits of the process wait
-    for the next start."""
+    """Reloads a sender under the platform's agent. The agent's address and the settings may change; changed
+    limits of the process take effect at the next start."""
 
     def __init__(
         self,
--- a/ashpath/server/runtime.py
+++ b/ashpath/server/runtime.py
@@ -1,13 +1,18 @@
-"""Runs a sender: start, supervision of its services, and the signals.
+"""Runs a sender: its start, the supervision of its services, and its signal handlers.
 
-Theory of operation, in this order: signal handlers; detached endpoints and, where lists are pushed, a first
-snapshot of service discovery; the policy takes over what the previous incarnation left; clients and operators
-can connect; the services run, each in a greenlet of its own; the line `ready`. SIGHUP requests a reload,
-SIGTERM begins the graceful shutdown, whose end ends `SenderRuntime.run`; the greenlets end with the process.
+Theory of operation. A start takes these steps in order:
 
-Both signals arrive as callbacks of the event loop, between greenlets: the handlers only set an event or begin
-a greenlet. Before they are installed, whoever starts the process notes SIGHUPs (`ashpath/__main__.py`,
-`cli/standalone.py`), as by default they would end it.
+1. Installs the signal handlers. 2. Reads the detached endpoints and, if the platform pushes endpoint lists, a
+first snapshot of service discovery. 3. Restores to the policy the state and the messages of the previous
+incarnation. 4. Listens for clients and operators. 5. Starts the services, each in its own greenlet. 6. Logs
+the line `ready`.
+
+SIGHUP requests a reload. SIGTERM starts the graceful shutdown, at whose end `SenderRuntime.run` returns; the
+greenlets end with the process.
+
+Both signals arrive as callbacks of the event loop, between greenlets: the handlers only set an event or spawn
+a greenlet. Until the handlers are installed, the entry points (`ashpath/__main__.py`, `cli/standalone.py`)
+record SIGHUPs, as the default action of SIGHUP would end the process.
 """
 
 from __future__ import annotations
@@ -27,25 +32,26 @@
 
 
 class SenderRuntime:
-    """Runs one sender to its end."""
+    """Runs one sender until its shutdown has ended."""
 
     def __init__(self, sender: Sender, reloader: Reloader) -> None:
         self.sender = sender
         self.logger = sender.logger
         self.reload_service = ReloadService(reloader, sender.logger)
-        # A list, as gevent.pool would bring a dozen modules that no sender needs otherwise.
-        self.greenlets: list[Greenlet[..., None]] = []  # of the services, begun in `run`; they end with it
+        # A list, as gevent.pool would import a dozen modules that a sender does not need otherwise.
+        self.greenlets: list[Greenlet[..., None]] = []  # of the services, spawned by `run`
 
     def run(self, pending_hangups: Sequence[int] = ()) -> None:
-        """Returns after the graceful shutdown. `pending_hangups`: SIGHUPs that came before this.
+        """Runs the sender, and returns after the graceful shutdown.
 
-        Raises OSError where an address cannot be listened on.
+        `pending_hangups`: SIGHUPs that arrived before this call. Raises OSError if an address cannot be
+        listened on.
         """
         sender = self.sender
         gevent.signal_handler(signal.SIGHUP, self.reload_service.requested.set)
         gevent.signal_handler(signal.SIGTERM, gevent.spawn, sender.shutdown.run)
         if pending_hangups:
-            self.reload_service.requested.set()  # the file may be another than the one that was read
+            self.reload_service.requested.set()  # the file may have changed since it was read
         detached = self.restore()
         retry_local_faults(self.listen, sender.limits.start_retries_s)
         configuration = sender.running.current
@@ -67,7 +73,7 @@
         sender.delivery.write_ahead_log.close()
 
     def listen(self) -> None:
-        """Clients and operators can connect from now on. Raises OSError."""
+        """Listens for clients and operators. Raises OSError if an address cannot be listened on."""
         sender = self.sender
         if not sender.clients.listener.listening:
             sender.clients.listener.listen(sender.process_options.inherited_socket)
@@ -75,7 +81,7 @@
             sender.control.listen()
 
     def restore(self) -> set[str]:
-        """Gives the policy what the previous incarnation left; the ids of detached endpoints."""
+        """Restores the previous incarnation's state to the policy. Returns the ids of detached endpoints."""
         sender = self.sender
         detached = sender.delivery.detached_endpoints.read()
         if sender.discovery is not None and sender.running.current.settings.discovery_pushes:
@@ -85,7 +91,8 @@
         return detached
 
     def services(self) -> list[Callable[[], None]]:
-        """What runs side by side until the end, in the order in which it begins."""
+        """Returns the services, in the order in which they start. They run concurrently until the process
+        ends."""
         sender = self.sender
         delivery = sender.delivery
         services: list[Callable[[], None]] = [self.reload_service.run]
@@ -108,8 +115,8 @@
 
 
 def supervise(service: Callable[[], None], pause_s: float, logger: Logger) -> None:
-    """Begins a service again after a fault, which would end one part of the sender for good. Returns as the
-    service does."""
+    """Runs a service, and restarts it `pause_s` seconds after an unexpected error, which would otherwise end
+    that part of the sender for good. Returns when the service returns."""
     while True:
         try:
             return service()
--- a/ashpath/server/sender.py
+++ b/ashpath/server/sender.py
@@ -1,4 +1,4 @@
-"""What a sender consists of: its parts by concern, put together by `wiring.py` and run by `runtime.py`."""
+"""The parts of a sender, grouped by concern. `wiring.py` creates them, and `runtime.py` runs them."""
 
 from __future__ import annotations
 
@@ -35,19 +35,21 @@
 
 
 class ProcessOptions(Struct, frozen=True):
-    """Where a sender stands: what a reload cannot change."""
+    """Options of a sender process, which a reload cannot change."""
 
     listen: str
-    """Address and port for clients. Part of the seed of random pauses, as senders of a fleet differ by it."""
+    """The address and port for clients. Part of the seed of random pauses, as the senders of a fleet differ
+    by it."""
     state_directory: Path
     control: str = ""
-    """The operators' address; empty: the configuration's, if it has one."""
+    """The address for operators' commands. If empty, the configuration's address is used, if any."""
     inherited_socket: int | None = None
-    """The clients' listening socket, handed down for hot upgrades: it is never bound a second time."""
+    """The descriptor of the clients' listening socket, which is inherited for hot upgrades and never bound
+    again; None if this process binds the address itself."""
 
 
 class DeliveryPath(Struct, frozen=True):
-    """From an accepted message to its final outcome."""
+    """The parts that take a message from its acceptance to its final outcome."""
 
     write_ahead_log: WriteAheadLog
     outcome_store: OutcomeStore | None
@@ -63,7 +65,7 @@
 
 
 class ClientSide(Struct, frozen=True):
-    """From a client's connection to an accepted message."""
+    """The parts that take a message from a client's connection to its acceptance."""
 
     admission: Admission
     listener: ClientListener
@@ -76,14 +78,14 @@
     process_options: ProcessOptions
     running: RunningConfiguration
     limits: ServerLimits
-    """Of the process: those of a later configuration wait for the next start."""
+    """Limits of the process. Those of a later configuration take effect at the next start."""
     logger: Logger
     delivery: DeliveryPath
     clients: ClientSide
     control: ControlListener | None
     discovery: DiscoveryClient | None
     orphan_adopter: OrphanAdopter | None
-    """None in a process that binds the clients' address by itself: it is alone."""
+    """None in a process that binds the clients' address itself, as the sender has no other process then."""
     gossip: GossipService
     metrics: MetricsService
     settings_switch: SettingsSwitch
--- a/ashpath/server/shutdown.py
+++ b/ashpath/server/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown after SIGTERM: what can be finished is, the rest stays in the write-ahead log.
+"""Graceful shutdown after SIGTERM. Messages that cannot be finished in time stay in the write-ahead log.
 
 | state | entered | left |
 | --- | --- | --- |
@@ -6,18 +6,18 @@
 | ACCEPTING | from RUNNING, where this process bound the address itself | after `accept_after_term_s` |
 | REJECTING | from ACCEPTING | without work, or `attempts_after_term_s` after SIGTERM |
 | HANDING_OVER | from RUNNING, where the listening socket is inherited | as REJECTING |
-| FINISHING | from REJECTING and HANDING_OVER | without unfinishable work, or `end_after_term_s` after it |
+| FINISHING | from REJECTING, HANDING_OVER | no nontransferable work, or `end_after_term_s` after SIGTERM |
 | ENDED | from FINISHING | the process exits |
 
-ACCEPTING: connections and messages are still accepted, and each response ends its connection. REJECTING:
-idle connections are closed, new requests get 503, attempts still begin. HANDING_OVER: the other process
-accepts, clients here are drained, attempts still begin. FINISHING: no attempt begins; attempts in flight,
-notifications and requests within a connection go on. ENDED: the listening socket is closed first, so that who
-connects is refused, in place of a reset; then the connections.
+ACCEPTING: connections and messages are still accepted, and each response ends its connection. REJECTING: idle
+connections are closed, new requests get 503, attempts still start. HANDING_OVER: the other process accepts
+connections, clients of this process are drained, attempts still start. FINISHING: no attempt starts; attempts
+in flight, notifications and requests that are being read or answered continue. ENDED: the listening socket is
+closed first, so that new connections are refused and not reset; then the connections are closed.
 
-A request that is not whole `requests_after_term_s` after SIGTERM is answered 503. A second SIGTERM changes
-nothing: it would put off responses that the first one still owes. What is queued at the end is restored by
-the next incarnation, or adopted by the other process of a hot upgrade.
+A request that is incomplete `requests_after_term_s` after SIGTERM is answered 503. A second SIGTERM has no
+effect: a new shutdown would delay the responses that the first one still has to send. Messages that are
+queued at the end are restored by the next incarnation, or adopted by the other process of a hot upgrade.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 from ashpath.server.logs import Logger
 from ashpath.server.policy_runner import PolicyRunner
 
-CHECK_INTERVAL_S = 0.02  # between two looks at what is still to be finished
+CHECK_INTERVAL_S = 0.02  # between two checks for remaining work
 
 
 class ShutdownState(Enum):
-    """See the table of the module."""
+    """The states of a shutdown; see the table in the module docstring."""
 
     RUNNING = "running"
     ACCEPTING = "accepting"
@@ -51,7 +51,7 @@
 
 
 class GracefulShutdown:
-    """Carries the sender from SIGTERM to its end. `ended` is set as the last state is reached."""
+    """Runs the shutdown from SIGTERM to the end. `ended` is set when the last state is reached."""
 
     def __init__(
         self,
@@ -72,7 +72,8 @@
         self.ended = Event()
 
     def run(self) -> None:
-        """Returns at the end; at once where a shutdown is under way."""
+        """Shuts the sender down, and returns at the end. Returns at once if a shutdown is already in
+        progress."""
         if self.state is not ShutdownState.RUNNING:
             return
         began = monotonic()
@@ -91,13 +92,15 @@
         self.end()
 
     def hand_over(self) -> None:
-        """The other process accepts from here on, and adopts later what is queued here."""
+        """Leaves new connections to the other process, which later adopts the messages that are queued in
+        this one."""
         self.state = ShutdownState.HANDING_OVER
         self.listener.stop()
         gevent.spawn(self.listener.drain_clients, self.limits.drain_clients_s)
 
     def stop_accepting(self) -> None:
-        """Connections that still come after this are accepted to the end, and get a response."""
+        """Stops accepting messages. Connections are accepted until the end, and their requests get a
+        response."""
         self.state = ShutdownState.ACCEPTING
         gevent.sleep(self.limits.accept_after_term_s)
         self.state = ShutdownState.REJECTING
@@ -105,14 +108,15 @@
         self.listener.close_idle()
 
     def finish(self, deadline: float) -> None:
-        """Begins no further attempt, and waits for what no other process can finish."""
+        """Starts no further attempt, and waits for the work that no other process can finish."""
         self.state = ShutdownState.FINISHING
         self.policy_runner.stop_attempts()
         self.listener.close_idle()
         self.wait_while(self.has_nontransferable_work, deadline)
 
     def end(self) -> None:
-        """Who connects now is refused at once, in place of a reset once the process is gone."""
+        """Closes the listening socket and all connections. Clients that connect later are refused at once;
+        without the close they would get a reset when the process ends."""
         self.state = ShutdownState.ENDED
         self.listener.stop()
         self.listener.close_all()
@@ -124,7 +128,7 @@
         self.ended.set()
 
     def has_work(self) -> bool:
-        """Messages, connected clients, or work that cannot be left to another process."""
+        """Returns whether messages, connected clients or nontransferable work remain."""
         return (
             bool(self.policy_runner.messages)
             or self.listener.has_connections()
@@ -132,8 +136,8 @@
         )
 
     def has_nontransferable_work(self) -> bool:
-        """What no other process can finish: attempts in flight, notifications on their way, clients within a
-        request."""
+        """Returns whether work remains that no other process can finish: attempts in flight, pending
+        notifications, or open client requests."""
         return (
             bool(self.policy_runner.attempts)
             or self.notifier.has_pending
@@ -141,6 +145,7 @@
         )
 
     def wait_while(self, busy: Callable[[], bool], deadline: float) -> None:
-        """Until `deadline` by the monotonic clock, in seconds, at the latest."""
+        """Waits until `busy` returns False, but no longer than `deadline`, in seconds of the monotonic
+        clock."""
         while monotonic() < deadline and busy():
             gevent.sleep(CHECK_INTERVAL_S)
--- a/ashpath/server/state_files.py
+++ b/ashpath/server/state_files.py
@@ -1,5 +1,5 @@
-"""Opens the files of a state directory that the whole sender shares, in the order in which they need each
-other: the clock comes first, as every other one has times. What cannot be read whole is said in the log.
+"""Opens the files of the state directory that all parts of a sender share, in the order of their
+dependencies: the clock comes first, as all other files contain times. Damaged files are logged.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 def open_write_ahead_log(
     process_options: ProcessOptions, limits: ServerLimits, logger: Logger
 ) -> WriteAheadLog:
-    """Its bytes are what the other files of the state directory leave of `disk_bytes`.
+    """Opens the write-ahead log, whose maximum size is `disk_bytes` without the shared memory and the
+    outages.
 
-    Raises OSError, LogLockedError and ForeignRecordError."""
+    Raises OSError, LogLockedError or ForeignRecordError."""
     initialize_clock(process_options, logger)
     files = shared_memory_files(process_options)
     write_ahead_log = WriteAheadLog(
@@ -31,13 +32,15 @@
 
 
 def initialize_clock(process_options: ProcessOptions, logger: Logger) -> None:
-    """Before any stored time is read. After a boot no Retry-After binds that a process before it was told."""
+    """Sets the clock of stored times; called before any stored time is read. After a boot of the machine,
+    removes the shared memory, so that a Retry-After from before the boot no longer applies."""
     if initialize_stored_clock(process_options.state_directory, logger) is ClockOrigin.OTHER_BOOT:
         shared_memory.remove_files(process_options.state_directory, MAX_PROCESSES)
 
 
 def open_shared_memory(process_options: ProcessOptions, logger: Logger) -> SharedMemory:
-    """Without a place for this process it still reads what the other one of a hot upgrade writes."""
+    """Opens the shared memory. If it has no slot for this process, the process can still read what the other
+    process of a hot upgrade writes."""
     memory = SharedMemory(process_options.state_directory, shared_memory_files(process_options))
     if memory.own is None:
         logger.error("no shared memory: Retry-After and detached endpoints of this process bind no other")
@@ -45,5 +48,6 @@
 
 
 def shared_memory_files(process_options: ProcessOptions) -> int:
-    """A process that binds the address by itself is alone."""
+    """Returns the number of shared memory files: one for a process that binds the address itself, as the
+    sender has no other process then."""
     return 1 if process_options.inherited_socket is None else MAX_PROCESSES
--- a/ashpath/server/timers.py
+++ b/ashpath/server/timers.py
@@ -1,7 +1,8 @@
 """The sender's clocks, and the timers that its policy schedules.
 
-The policy has no clock: it is handed the time, and asks for timers by a token of its own choice. All that are
-due fire together, in the order of their times, those of one time in the order in which they were scheduled.
+The policy has no clock: it receives the time with each batch, and schedules timers under tokens that it
+chooses. All due timers fire together, ordered by time; timers of the same time fire in the order in which
+they were scheduled.
 """
 
 from __future__ import annotations
@@ -13,86 +14,91 @@
 import gevent
 from gevent.event import Event
 
-MICROSECONDS_PER_SECOND = 1_000_000  # in a second
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def now() -> int:
-    """Whole microseconds of the monotonic clock, which only goes forward."""
+    """Returns whole microseconds of the monotonic clock."""
     return time.monotonic_ns() // 1000
 
 
 def wall_clock() -> int:
-    """Whole microseconds of the wall clock, which may be stepped: read once, as the offset is settled."""
+    """Returns whole microseconds of the wall clock. Read only to determine the offset of stored times, as the
+    wall clock may be stepped."""
     return time.time_ns() // 1000
 
 
-_offset = wall_clock() - now()  # microseconds to stored times; `storage.stored_clock` settles it at the start
+# Microseconds from the monotonic clock to stored times. `storage.stored_clock` sets the offset at the start.
+_offset = wall_clock() - now()
 
 
 def set_stored_time_offset(offset_us: int) -> None:
-    """What stored times are counted by from now on. Called once, before any is read."""
+    """Sets the offset of stored times, in microseconds. Called once, before any stored time is read."""
     global _offset
     _offset = offset_us
 
 
 def stored_time() -> int:
-    """Whole microseconds of the clock of all times that outlive the process: see `storage.stored_clock`."""
+    """Returns whole microseconds of the clock for times that outlive the process: see
+    `storage.stored_clock`."""
     return now() + _offset
 
 
 class TimerListener(Protocol):
-    """Who is called as timers fall due."""
+    """Is called when timers are due."""
 
     def timers_fired(self, tokens: list[str]) -> None:
-        """At least one. It may schedule further timers, which fire in a later call."""
+        """Takes the tokens of the due timers, at least one. May schedule further timers, which fire in a
+        later call."""
         ...
 
 
 class Timer(NamedTuple):
-    """One timer; as tuples they are in the order in which they fire."""
+    """One timer. The order of timers as tuples is the order in which they fire."""
 
     due_at: int
-    """Microseconds of the monotonic clock."""
+    """In microseconds of the monotonic clock."""
     sequence: int
-    """How many were scheduled up to this one."""
+    """The number of timers scheduled so far, including this one."""
     token: str
 
 
 class Timers:
-    """Timers that are not due yet. Each fires once and is forgotten; none is cancelled."""
+    """The pending timers. Each fires once and is then removed; none is cancelled."""
 
     def __init__(self, listener: TimerListener) -> None:
         self.listener = listener
-        self.heap: list[Timer] = []  # the earliest first
-        self.scheduled = 0  # how many there have been
-        self.earlier_scheduled = Event()  # one that is due before all that were waited for
+        self.heap: list[Timer] = []  # earliest first
+        self.scheduled = 0  # timers scheduled so far
+        self.earlier_scheduled = Event()  # set if a new timer is due before all others
 
     def add(self, due_at: int, token: str) -> None:
-        """`due_at`: microseconds of the monotonic clock; one that has passed fires as soon as `run` does."""
+        """Schedules a timer for `due_at`, in microseconds of the monotonic clock. A time in the past fires as
+        soon as `run` gets to it."""
         self.scheduled += 1
         heappush(self.heap, Timer(due_at, self.scheduled, token))
         if self.heap[0].sequence == self.scheduled:
             self.earlier_scheduled.set()
 
     def run(self) -> None:
-        """Never returns."""
+        """Fires due timers. Never returns."""
         while True:
             self.earlier_scheduled.clear()
             started_at = now()
             tokens = self.take_due(started_at)
             if tokens:
                 self.listener.timers_fired(tokens)
-                gevent.sleep(0)  # guards the other greenlets against timers that follow on one another
+                gevent.sleep(0)  # lets other greenlets run even if timers are due one right after another
             else:
                 self.earlier_scheduled.wait(self.seconds_to_next(started_at))
 
     def take_due(self, moment: int) -> list[str]:
-        """The tokens of all that are due, which leave."""
+        """Removes the due timers, and returns their tokens."""
         tokens = []
         while self.heap and self.heap[0].due_at <= moment:
             tokens.append(heappop(self.heap).token)
         return tokens
 
     def seconds_to_next(self, moment: int) -> float | None:
-        """Until the earliest one; None where there is none."""
+        """Returns the seconds until the earliest timer, or None if no timer is pending."""
         return (self.heap[0].due_at - moment) / MICROSECONDS_PER_SECOND if self.heap else None
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -1,6 +1,7 @@
-"""Puts the parts of a sender together: who owns what is decided here, once, for both deployments.
+"""Creates the parts of a sender and connects them, for both deployments.
 
-Nothing runs yet when `create_sender` returns, and nothing listens but the metrics; `runtime.py` starts it.
+When `create_sender` returns, no part runs yet, and only the metrics address listens; `runtime.py` starts the
+sender.
 """
 
 from __future__ import annotations
@@ -44,10 +45,10 @@
     deployment: Deployment,
     logger: Logger,
 ) -> Sender:
-    """A sender that is not started yet, though metrics can be read already.
+    """Returns a sender that is not started yet, though its metrics can already be read.
 
-    Raises `StartupError`, and one of `UNUSABLE_CONFIGURATION_ERRORS` where the state directory, an address
-    or a list in the configuration cannot be used.
+    Raises `StartupError`, or one of `UNUSABLE_CONFIGURATION_ERRORS` if the state directory, an address or a
+    list in the configuration cannot be used.
     """
     write_ahead_log = state_files.open_write_ahead_log(process_options, configuration.limits, logger)
     configuration = deployment.restore_traffic_class_ids(
@@ -89,7 +90,7 @@
     write_ahead_log: WriteAheadLog,
     logger: Logger,
 ) -> DeliveryPath:
-    """Opens the other files of the state directory, too."""
+    """Creates the parts that deliver messages. Also opens the remaining files of the state directory."""
     limits = configuration.limits
     settings = configuration.settings
     shared_memory = state_files.open_shared_memory(process_options, logger)
@@ -129,19 +130,21 @@
 
 
 def create_classifier(settings: SenderSettings) -> ResponseClassifier:
-    """Load reports count where the settings of the start say that responses have them."""
+    """Creates the response classifier, which reads load reports if the settings at the start say that
+    responses have them."""
     return ResponseClassifier(has_load_reports=load_report_fields(settings.document) is not None)
 
 
 def create_notifier_backoff(process_options: ProcessOptions, configuration: SenderConfiguration) -> Backoff:
-    """The pauses after failed notifications."""
+    """Creates the backoff for failed notifications."""
     limits = configuration.limits
     chance = Random(f"{random_seed(process_options, configuration)}/n")
     return Backoff(chance, limits.retry_s, limits.notification_backoff_s)
 
 
 def random_seed(process_options: ProcessOptions, configuration: SenderConfiguration) -> str:
-    """Senders of one fleet differ by their address."""
+    """Returns the seed of random pauses, which includes the listen address: the senders of one fleet differ
+    by it."""
     return f"{configuration.policy_settings.seed}/{process_options.listen}"
 
 
@@ -152,7 +155,7 @@
     delivery: DeliveryPath,
     logger: Logger,
 ) -> ClientSide:
-    """It does not listen yet."""
+    """Creates the parts that serve clients. The listener does not listen yet."""
     admission = Admission(
         configuration.policy_settings,
         configuration.settings.traffic_class_ids,
@@ -177,7 +180,9 @@
     listener: ClientListener,
     logger: Logger,
 ) -> ControlListener | None:
-    """The operators' address, where there is one; the environment's comes first."""
+    """Creates the listener for operators' commands, or returns None if no address is configured.
+
+    The address in the environment takes precedence over the one in the configuration."""
     address = process_options.control or configuration.control
     if not address:
         return None
@@ -193,10 +198,11 @@
     membership: EndpointMembership,
     logger: Logger,
 ) -> DiscoveryClient | None:
-    """The client of the discovery service, where there is one.
+    """Creates the client of the discovery service, or returns None if no such service is configured.
 
-    Its first poll guards the service against a fleet that starts at once: senders begin one after another, by
-    their number, all within the time of one watch. In a hot upgrade a sender starts alone, and polls at once.
+    The first polls of a fleet that starts at once are staggered by sender number, all within the duration of
+    one watch, so that they do not overload the service. In a hot upgrade a sender starts alone, and polls at
+    once.
     """
     if configuration.platform_address is None:
         return None
@@ -219,7 +225,7 @@
 def create_orphan_adopter(
     process_options: ProcessOptions, limits: ServerLimits, delivery: DeliveryPath, logger: Logger
 ) -> OrphanAdopter | None:
-    """For a process that may be one of two."""
+    """Creates the adopter of orphaned logs, or returns None if no other process of this sender can exist."""
     if process_options.inherited_socket is None:
         return None
     return OrphanAdopter(delivery.write_ahead_log, delivery.policy_runner, limits.adoption_interval_s, logger)
@@ -232,7 +238,7 @@
     discovery: DiscoveryClient | None,
     gossip: GossipService,
 ) -> MetricsService:
-    """It has no address yet."""
+    """Creates the metrics service, which has no address yet."""
     source = SenderMetricsSource(
         running=running,
         policy_runner=delivery.policy_runner,
@@ -253,7 +259,7 @@
     metrics: MetricsService,
     logger: Logger,
 ) -> SettingsSwitch:
-    """For the parts that have a copy of the settings."""
+    """Creates the settings switch, with the parts that hold a copy of the settings."""
     return SettingsSwitch(
         running=running,
         deployment=deployment,
@@ -270,7 +276,7 @@
 def create_shutdown(
     limits: ServerLimits, delivery: DeliveryPath, clients: ClientSide, logger: Logger
 ) -> GracefulShutdown:
-    """For the parts that have work to finish."""
+    """Creates the graceful shutdown, with the parts that may have work to finish."""
     return GracefulShutdown(
         listener=clients.listener,
         admission=clients.admission,
