--- a/ashpath/server/state_files.py
+++ b/ashpath/server/state_files.py
@@ -1,12 +1,12 @@
-"""Opens the files of a state directory that the whole sender shares, in the order in which they need each
-other: the clock comes first, as every other one has times. What cannot be read whole is said in the log.
+"""Opens the files of the state directory that all parts of a sender share, in the order of their
+dependencies: the clock comes first, as all other files contain times. Damaged files are logged.
 """
 
 from __future__ import annotations
 
 from ashpath.server.limits import ServerLimits
 from ashpath.server.logs import Logger
-from ashpath.server.sender import SenderPlace
+from ashpath.server.sender import ProcessOptions
 from ashpath.server.storage import outage_store, shared_memory
 from ashpath.server.storage.shared_memory import MAX_PROCESSES, SharedMemory
 from ashpath.server.storage.shared_memory_layout import FILE_BYTES
@@ -14,34 +14,40 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
 
-def open_write_ahead_log(place: SenderPlace, limits: ServerLimits, logger: Logger) -> WriteAheadLog:
-    """Its bytes are what the other files of the state directory leave of `disk_bytes`.
+def open_write_ahead_log(
+    process_options: ProcessOptions, limits: ServerLimits, logger: Logger
+) -> WriteAheadLog:
+    """Opens the write-ahead log, whose maximum size is `disk_bytes` without the shared memory and the
+    outages.
 
-    Raises OSError, LogLockedError and ForeignRecordError."""
-    settle_clock(place, logger)
-    files = shared_memory_files(place)
+    Raises OSError, LogLockedError or ForeignRecordError."""
+    initialize_clock(process_options, logger)
+    files = shared_memory_files(process_options)
     write_ahead_log = WriteAheadLog(
-        place.state_directory, limits.disk_bytes - files * FILE_BYTES - outage_store.MAX_DISK_BYTES
+        process_options.state_directory, limits.disk_bytes - files * FILE_BYTES - outage_store.MAX_DISK_BYTES
     )
     if write_ahead_log.skipped_bytes:
         logger.error("write-ahead log damaged", skipped_bytes=write_ahead_log.skipped_bytes)
     return write_ahead_log
 
 
-def settle_clock(place: SenderPlace, logger: Logger) -> None:
-    """Before any stored time is read. After a boot no Retry-After binds that a process before it was told."""
-    if initialize_stored_clock(place.state_directory, logger) is ClockOrigin.OTHER_BOOT:
-        shared_memory.remove_files(place.state_directory, MAX_PROCESSES)
+def initialize_clock(process_options: ProcessOptions, logger: Logger) -> None:
+    """Sets the clock of stored times; called before any stored time is read. After a boot of the machine,
+    removes the shared memory, so that a Retry-After from before the boot no longer applies."""
+    if initialize_stored_clock(process_options.state_directory, logger) is ClockOrigin.OTHER_BOOT:
+        shared_memory.remove_files(process_options.state_directory, MAX_PROCESSES)
 
 
-def open_shared_memory(place: SenderPlace, logger: Logger) -> SharedMemory:
-    """Without a place for this process it still reads what the other one of a hot upgrade writes."""
-    memory = SharedMemory(place.state_directory, shared_memory_files(place))
+def open_shared_memory(process_options: ProcessOptions, logger: Logger) -> SharedMemory:
+    """Opens the shared memory. If it has no slot for this process, the process can still read what the other
+    process of a hot upgrade writes."""
+    memory = SharedMemory(process_options.state_directory, shared_memory_files(process_options))
     if memory.own is None:
         logger.error("no shared memory: Retry-After and detached endpoints of this process bind no other")
     return memory
 
 
-def shared_memory_files(place: SenderPlace) -> int:
-    """A process that binds the address by itself is alone."""
-    return 1 if place.inherited_socket is None else MAX_PROCESSES
+def shared_memory_files(process_options: ProcessOptions) -> int:
+    """Returns the number of shared memory files: one for a process that binds the address itself, as the
+    sender has no other process then."""
+    return 1 if process_options.inherited_socket is None else MAX_PROCESSES
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -1,6 +1,7 @@
-"""Puts the parts of a sender together: who owns what is decided here, once, for both deployments.
+"""Creates the parts of a sender and connects them, for both deployments.
 
-Nothing runs yet when `create_sender` returns, and nothing listens but the metrics; `runtime.py` starts it.
+When `create_sender` returns, no part runs yet, and only the metrics address listens; `runtime.py` starts the
+sender.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 from ashpath.server.optional_services import GossipService, MetricsService, SenderMetricsSource
 from ashpath.server.policy_runner import PolicyRunner
 from ashpath.server.reload import SettingsSwitch
-from ashpath.server.sender import ClientSide, DeliveryPath, Sender, SenderPlace
+from ashpath.server.sender import ClientSide, DeliveryPath, ProcessOptions, Sender
 from ashpath.server.shutdown import GracefulShutdown
 from ashpath.server.storage.detached_endpoints import DetachedEndpoints
 from ashpath.server.storage.outage_store import OutageStore
@@ -39,29 +40,32 @@
 
 
 def create_sender(
-    place: SenderPlace, configuration: SenderConfiguration, deployment: Deployment, logger: Logger
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    deployment: Deployment,
+    logger: Logger,
 ) -> Sender:
-    """A sender that is not started yet, though metrics can be read already.
+    """Returns a sender that is not started yet, though its metrics can already be read.
 
-    Raises `StartupError`, and one of `UNUSABLE_CONFIGURATION_ERRORS` where the state directory, an address
-    or a list in the configuration cannot be used.
+    Raises `StartupError`, or one of `UNUSABLE_CONFIGURATION_ERRORS` if the state directory, an address or a
+    list in the configuration cannot be used.
     """
-    write_ahead_log = state_files.open_write_ahead_log(place, configuration.limits, logger)
+    write_ahead_log = state_files.open_write_ahead_log(process_options, configuration.limits, logger)
     configuration = deployment.restore_traffic_class_ids(
         configuration,
-        has_live_messages=bool(write_ahead_log.messages.live) or place.inherited_socket is not None,
+        has_live_messages=bool(write_ahead_log.messages.live) or process_options.inherited_socket is not None,
     )
     running = RunningConfiguration(configuration)
-    delivery = create_delivery_path(place, configuration, deployment, write_ahead_log, logger)
-    clients = create_client_side(place, configuration, deployment, delivery, logger)
+    delivery = create_delivery_path(process_options, configuration, deployment, write_ahead_log, logger)
+    clients = create_client_side(process_options, configuration, deployment, delivery, logger)
     delivery.registry.apply_members(configuration.known_endpoints["members"], complete=True)
-    control = create_control_listener(place, configuration, delivery, clients.listener, logger)
-    discovery = create_discovery_client(place, configuration, delivery.membership, logger)
+    control = create_control_listener(process_options, configuration, delivery, clients.listener, logger)
+    discovery = create_discovery_client(process_options, configuration, delivery.membership, logger)
     gossip = GossipService(delivery.policy_runner, delivery.gossip_link, logger)
     metrics = create_metrics_service(running, delivery, clients, discovery, gossip)
-    metrics.start(configuration.metrics_listen, other_process=place.inherited_socket is not None)
+    metrics.start(configuration.metrics_listen, other_process=process_options.inherited_socket is not None)
     return Sender(
-        place=place,
+        process_options=process_options,
         running=running,
         limits=configuration.limits,
         logger=logger,
@@ -69,7 +73,7 @@
         clients=clients,
         control=control,
         discovery=discovery,
-        orphan_adopter=create_orphan_adopter(place, configuration.limits, delivery, logger),
+        orphan_adopter=create_orphan_adopter(process_options, configuration.limits, delivery, logger),
         gossip=gossip,
         metrics=metrics,
         settings_switch=create_settings_switch(
@@ -80,25 +84,25 @@
 
 
 def create_delivery_path(
-    place: SenderPlace,
+    process_options: ProcessOptions,
     configuration: SenderConfiguration,
     deployment: Deployment,
     write_ahead_log: WriteAheadLog,
     logger: Logger,
 ) -> DeliveryPath:
-    """Opens the other files of the state directory, too."""
+    """Creates the parts that deliver messages. Also opens the remaining files of the state directory."""
     limits = configuration.limits
     settings = configuration.settings
-    shared_memory = state_files.open_shared_memory(place, logger)
+    shared_memory = state_files.open_shared_memory(process_options, logger)
     outcome_store = deployment.create_outcome_store(limits, logger)
-    backoff = create_notifier_backoff(place, configuration)
+    backoff = create_notifier_backoff(process_options, configuration)
     notifier = deployment.create_notifier(limits, write_ahead_log, backoff, logger)
     pool = ConnectionPool(limits)
     registry = EndpointRegistry(settings.kinds, settings.zones, pool, logger)
     recorder = OutcomeRecorder(write_ahead_log, notifier, outcome_store)
     attempt_runner = AttemptRunner(pool, registry, create_classifier(settings), notifier, logger)
     gossip_link = GossipLink()
-    detached_endpoints = DetachedEndpoints(place.state_directory, logger)
+    detached_endpoints = DetachedEndpoints(process_options.state_directory, logger)
     policy_runner = PolicyRunner(
         settings.policy_settings,
         write_ahead_log,
@@ -106,7 +110,7 @@
         attempt_runner,
         shared_memory,
         detached_endpoints,
-        OutageStore(place.state_directory, logger),
+        OutageStore(process_options.state_directory, logger),
         gossip_link,
         logger,
     )
@@ -126,30 +130,32 @@
 
 
 def create_classifier(settings: SenderSettings) -> ResponseClassifier:
-    """Load reports count where the settings of the start say that responses have them."""
+    """Creates the response classifier, which reads load reports if the settings at the start say that
+    responses have them."""
     return ResponseClassifier(has_load_reports=load_report_fields(settings.document) is not None)
 
 
-def create_notifier_backoff(place: SenderPlace, configuration: SenderConfiguration) -> Backoff:
-    """The pauses after failed notifications."""
+def create_notifier_backoff(process_options: ProcessOptions, configuration: SenderConfiguration) -> Backoff:
+    """Creates the backoff for failed notifications."""
     limits = configuration.limits
-    chance = Random(f"{random_seed(place, configuration)}/n")
+    chance = Random(f"{random_seed(process_options, configuration)}/n")
     return Backoff(chance, limits.retry_s, limits.notification_backoff_s)
 
 
-def random_seed(place: SenderPlace, configuration: SenderConfiguration) -> str:
-    """Senders of one fleet differ by their address."""
-    return f"{configuration.policy_settings.seed}/{place.listen}"
+def random_seed(process_options: ProcessOptions, configuration: SenderConfiguration) -> str:
+    """Returns the seed of random pauses, which includes the listen address: the senders of one fleet differ
+    by it."""
+    return f"{configuration.policy_settings.seed}/{process_options.listen}"
 
 
 def create_client_side(
-    place: SenderPlace,
+    process_options: ProcessOptions,
     configuration: SenderConfiguration,
     deployment: Deployment,
     delivery: DeliveryPath,
     logger: Logger,
 ) -> ClientSide:
-    """It does not listen yet."""
+    """Creates the parts that serve clients. The listener does not listen yet."""
     admission = Admission(
         configuration.policy_settings,
         configuration.settings.traffic_class_ids,
@@ -162,20 +168,22 @@
         delivery.policy_runner, delivery.outcome_store, configuration.settings.traffic_class_names()
     )
     listener = ClientListener(
-        parse_address(place.listen), configuration.limits, admission, logger, status_api
+        parse_address(process_options.listen), configuration.limits, admission, logger, status_api
     )
     return ClientSide(admission, listener, status_api)
 
 
 def create_control_listener(
-    place: SenderPlace,
+    process_options: ProcessOptions,
     configuration: SenderConfiguration,
     delivery: DeliveryPath,
     listener: ClientListener,
     logger: Logger,
 ) -> ControlListener | None:
-    """The operators' address, where there is one; the environment's comes first."""
-    address = place.control or configuration.control
+    """Creates the listener for operators' commands, or returns None if no address is configured.
+
+    The address in the environment takes precedence over the one in the configuration."""
+    address = process_options.control or configuration.control
     if not address:
         return None
     commands = OperatorCommands(
@@ -185,12 +193,16 @@
 
 
 def create_discovery_client(
-    place: SenderPlace, configuration: SenderConfiguration, membership: EndpointMembership, logger: Logger
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    membership: EndpointMembership,
+    logger: Logger,
 ) -> DiscoveryClient | None:
-    """The client of the discovery service, where there is one.
+    """Creates the client of the discovery service, or returns None if no such service is configured.
 
-    Its first poll guards the service against a fleet that starts at once: senders begin one after another, by
-    their number, all within the time of one watch. In a hot upgrade a sender starts alone, and polls at once.
+    The first polls of a fleet that starts at once are staggered by sender number, all within the duration of
+    one watch, so that they do not overload the service. In a hot upgrade a sender starts alone, and polls at
+    once.
     """
     if configuration.platform_address is None:
         return None
@@ -203,18 +215,18 @@
         limits,
         int(configuration.known_endpoints.get("revision") or 0),
         membership,
-        Random(f"{random_seed(place, configuration)}/d"),
+        Random(f"{random_seed(process_options, configuration)}/d"),
         logger,
-        first_poll_delay_s if place.inherited_socket is None else 0.0,
+        first_poll_delay_s if process_options.inherited_socket is None else 0.0,
         pushed=configuration.settings.discovery_pushes,
     )
 
 
 def create_orphan_adopter(
-    place: SenderPlace, limits: ServerLimits, delivery: DeliveryPath, logger: Logger
+    process_options: ProcessOptions, limits: ServerLimits, delivery: DeliveryPath, logger: Logger
 ) -> OrphanAdopter | None:
-    """For a process that may be one of two."""
-    if place.inherited_socket is None:
+    """Creates the adopter of orphaned logs, or returns None if no other process of this sender can exist."""
+    if process_options.inherited_socket is None:
         return None
     return OrphanAdopter(delivery.write_ahead_log, delivery.policy_runner, limits.adoption_interval_s, logger)
 
@@ -226,7 +238,7 @@
     discovery: DiscoveryClient | None,
     gossip: GossipService,
 ) -> MetricsService:
-    """It has no address yet."""
+    """Creates the metrics service, which has no address yet."""
     source = SenderMetricsSource(
         running=running,
         policy_runner=delivery.policy_runner,
@@ -247,7 +259,7 @@
     metrics: MetricsService,
     logger: Logger,
 ) -> SettingsSwitch:
-    """For the parts that have a copy of the settings."""
+    """Creates the settings switch, with the parts that hold a copy of the settings."""
     return SettingsSwitch(
         running=running,
         deployment=deployment,
@@ -264,7 +276,7 @@
 def create_shutdown(
     limits: ServerLimits, delivery: DeliveryPath, clients: ClientSide, logger: Logger
 ) -> GracefulShutdown:
-    """For the parts that have work to finish."""
+    """Creates the graceful shutdown, with the parts that may have work to finish."""
     return GracefulShutdown(
         listener=clients.listener,
         admission=clients.admission,
