--- a/ashpath/emulator/destination/faults.py
+++ b/ashpath/emulator/destination/faults.py
@@ -43,9 +43,9 @@
     Shares of errors begin at the destination's own.
     """
 
-    def __init__(self, errors: float, errors_after: float) -> None:
-        self._own_errors = errors
-        self._own_errors_after = errors_after
+    def __init__(self, error_share: float, error_after_share: float) -> None:
+        self._base_error_share = error_share
+        self._base_error_after_share = error_after_share
         self._active: list[tuple[Fault, float]] = []
         self._recompute()
 
@@ -65,15 +65,15 @@
         self.hung = Fault.HUNG in kinds
         self.down = Fault.DOWN in kinds
         self.rejecting = Fault.REJECTING in kinds
-        self.any_outage = self.silent or self.hung or self.down or self.rejecting
-        self.slowness = self._product(Fault.SLOW)
+        self.has_outage = self.silent or self.hung or self.down or self.rejecting
+        self.service_time_factor = self._product(Fault.SLOW)
         self.rate_limit_factor = self._product(Fault.RATE_LIMIT)
-        self.error_share = self._sum(Fault.ERRORS, self._own_errors)
-        self.error_after_share = self._sum(Fault.ERRORS_AFTER, self._own_errors_after)
-        self.lost_share = self._sum(Fault.LOST_RESPONSES, 0.0)
+        self.error_share = self._sum(Fault.ERRORS, self._base_error_share)
+        self.error_after_share = self._sum(Fault.ERRORS_AFTER, self._base_error_after_share)
+        self.lost_response_share = self._sum(Fault.LOST_RESPONSES, 0.0)
         self.reset_share = self._sum(Fault.RESETS, 0.0)
-        shares = self.error_share + self.error_after_share + self.lost_share + self.reset_share
-        self.any_share = shares > 0
+        shares = self.error_share + self.error_after_share + self.lost_response_share + self.reset_share
+        self.has_failure_share = shares > 0
 
     def _product(self, wanted: Fault) -> float:
         factor = 1.0
@@ -82,8 +82,8 @@
                 factor *= amount
         return factor
 
-    def _sum(self, wanted: Fault, own: float) -> float:
-        share = own
+    def _sum(self, wanted: Fault, base: float) -> float:
+        share = base
         for fault, amount in self._active:
             if fault is wanted:
                 share += amount
--- a/ashpath/emulator/destination/model.py
+++ b/ashpath/emulator/destination/model.py
@@ -22,7 +22,7 @@
 from ashpath.emulator.destination.rate_limit import DestinationRateLimit
 from ashpath.emulator.units import NEVER, SECOND
 
-ERROR_TIME = 1000  # microseconds until an error that comes before the effect
+ERROR_RESPONSE_TIME = 1000  # microseconds until an error that comes before the effect
 
 
 @dataclass(eq=False, slots=True)
@@ -37,7 +37,7 @@
 
 
 class DestinationModel:
-    """One destination. `keys` is emptied as deduplication windows pass.
+    """One destination. `key_expiry_times` is emptied as deduplication windows pass.
 
     `tallies` grows with the run, as its checks need them, unless `keeps_tallies` is off: then with the
     calls in flight.
@@ -57,7 +57,7 @@
         self.endpoints: dict[str, EndpointState] = {}
         for endpoint in endpoints:
             self.add_endpoint(endpoint)
-        self.keys: OrderedDict[str, int] = OrderedDict()  # until when each is remembered
+        self.key_expiry_times: OrderedDict[str, int] = OrderedDict()  # until when each is remembered
         self.tallies: dict[str, RequestTally] = {}
         self.faults = ActiveFaults(properties.error_share, properties.error_after_effect_share)
         self.rate_limit = DestinationRateLimit(properties, self.faults, random)
@@ -100,7 +100,7 @@
 
     def in_outage(self) -> bool:
         """Whether one of OUTAGE_FAULTS is on."""
-        return self.faults.any_outage
+        return self.faults.has_outage
 
     def is_unresponsive(self, now: int) -> bool:
         """Whether no call is answered now, not even one that came in before."""
@@ -108,13 +108,13 @@
 
     def speed(self, now: int) -> float:
         """Its present share of its full speed, as of the recovery ramp."""
-        since = now - self.recovered_at
+        time_since_recovery = now - self.recovered_at
         properties = self.properties
-        if since >= properties.slow_start_time:
+        if time_since_recovery >= properties.slow_start_time:
             return 1.0
         return (
             properties.slow_start_share
-            + (1 - properties.slow_start_share) * max(0, since) / properties.slow_start_time
+            + (1 - properties.slow_start_share) * max(0, time_since_recovery) / properties.slow_start_time
         )
 
     # Calls.
@@ -126,7 +126,9 @@
         state = self.endpoints.get(endpoint)
         if state is None or self.faults.down:
             return DestinationCall(CallResult.REFUSED)
-        call = DestinationCall(CallResult.NO_RESPONSE, NEVER, tally=self._count(request), idempotency_key=key)
+        call = DestinationCall(
+            CallResult.NO_RESPONSE, NEVER, tally=self._count_call(request), idempotency_key=key
+        )
         in_slow_start = now < self.recovered_at + self.properties.slow_start_time
         if in_slow_start and self._causes_collapse(now):
             self.collapsed_until = now + self.properties.collapse_time
@@ -135,23 +137,23 @@
         if self.faults.silent or now < self.collapsed_until:
             return call
         if self.faults.hung:
-            self._take_effect(now, call)  # it runs as the hang ends, and nobody receives the response
+            self._record_effect(now, call)  # it runs as the hang ends, and nobody receives the response
             return call
         if self._rejects(now, state, call):
             return self._with_report(call)
-        draw = self.random.random() if self.faults.any_share else 1.0
+        draw = self.random.random() if self.faults.has_failure_share else 1.0
         if draw < self.faults.error_share:
             call.result = CallResult.ERROR
-            call.responds_after = ERROR_TIME
+            call.responds_after = ERROR_RESPONSE_TIME
             return self._with_report(call)
-        service_time = self._service_time(traffic_class) * self.faults.slowness
+        service_time = self._service_time(traffic_class) * self.faults.service_time_factor
         if in_slow_start:
             service_time /= self.speed(now)
         if new_connection:
             service_time += self.properties.connection_setup_time
-        self._run(now, state, call, service_time)
-        if self.faults.any_share:
-            self._fail_after_start(draw - self.faults.error_share, call)
+        self._assign_worker(now, state, call, service_time)
+        if self.faults.has_failure_share:
+            self._apply_failure_shares(draw - self.faults.error_share, call)
         return self._with_report(call)
 
     def call_ended(self, now: int, call: DestinationCall, request: str) -> None:
@@ -165,7 +167,7 @@
         if not self.keeps_tallies and not tally.in_flight:
             self.tallies.pop(request, None)
 
-    def _count(self, request: str) -> RequestTally:
+    def _count_call(self, request: str) -> RequestTally:
         tally = self.tallies.get(request)
         if tally is None:
             tally = self.tallies[request] = RequestTally()
@@ -189,7 +191,9 @@
         call.responds_after = 0
         return True
 
-    def _run(self, now: int, state: EndpointState, call: DestinationCall, service_time: float) -> None:
+    def _assign_worker(
+        self, now: int, state: EndpointState, call: DestinationCall, service_time: float
+    ) -> None:
         """The worker that is free first takes the call."""
         start = max(now, state.workers_free_at[0])
         if self.properties.pause_interval:
@@ -199,21 +203,21 @@
         if start > now:
             state.queued_starts.append(start)
         call.starts_at = start
-        self._take_effect(now, call)
+        self._record_effect(now, call)
         call.result = CallResult.OK
         call.responds_after = end - now
 
-    def _fail_after_start(self, draw: float, call: DestinationCall) -> None:
+    def _apply_failure_shares(self, draw: float, call: DestinationCall) -> None:
         """What becomes of a call that ran, by one draw from 0 on."""
         faults = self.faults
         if draw < faults.error_after_share:
             call.result = CallResult.ERROR
-        elif draw < faults.error_after_share + faults.lost_share:
+        elif draw < faults.error_after_share + faults.lost_response_share:
             call.result = CallResult.NO_RESPONSE
             call.responds_after = NEVER
-        elif draw < faults.error_after_share + faults.lost_share + faults.reset_share:
+        elif draw < faults.error_after_share + faults.lost_response_share + faults.reset_share:
             call.result = CallResult.RESET
-            if draw < faults.error_after_share + faults.lost_share + faults.reset_share / 2:
+            if draw < faults.error_after_share + faults.lost_response_share + faults.reset_share / 2:
                 call.responds_after = 0
                 self._undo_effect(call)
 
@@ -222,18 +226,22 @@
         if properties.samples:
             return self.random.choice(properties.samples)
         median = properties.service_times[min(traffic_class, len(properties.service_times) - 1)]
-        took = (
+        service_time = (
             median * self.random.lognormvariate(0, properties.service_time_sigma)
             if properties.service_time_sigma
             else float(median)
         )
         in_tail = properties.tail_share and self.random.random() < properties.tail_share
-        return took * properties.tail_factor if in_tail else took
+        return service_time * properties.tail_factor if in_tail else service_time
 
     def _after_pause(self, at: int) -> int:
         properties = self.properties
-        into = at % properties.pause_interval
-        return at + properties.pause_time - into if into < properties.pause_time else at
+        time_into_interval = at % properties.pause_interval
+        return (
+            at + properties.pause_time - time_into_interval
+            if time_into_interval < properties.pause_time
+            else at
+        )
 
     def _with_report(self, call: DestinationCall) -> DestinationCall:
         report = self.rate_limit.report()
@@ -253,17 +261,17 @@
         load = properties.overload_multiple * self.capacity * self.speed(now)
         return len(calls) > load * properties.overload_duration / SECOND
 
-    def _take_effect(self, now: int, call: DestinationCall) -> None:
+    def _record_effect(self, now: int, call: DestinationCall) -> None:
         """It runs, whether or not anybody waits for the response, unless its key is still known."""
-        keys = self.keys
-        while keys and next(iter(keys.values())) <= now:
-            keys.popitem(last=False)
+        key_expiry_times = self.key_expiry_times
+        while key_expiry_times and next(iter(key_expiry_times.values())) <= now:
+            key_expiry_times.popitem(last=False)
         key = call.idempotency_key
-        call.has_effect = key is None or key not in keys
+        call.has_effect = key is None or key not in key_expiry_times
         if call.has_effect and call.tally is not None:
             call.tally.effects += 1
             if key is not None:
-                keys[key] = now + self.properties.deduplication_window
+                key_expiry_times[key] = now + self.properties.deduplication_window
                 call.key_is_new = True
 
     def _undo_effect(self, call: DestinationCall) -> None:
@@ -272,4 +280,4 @@
             call.has_effect = False
             call.tally.effects -= 1
             if call.key_is_new and call.idempotency_key is not None:
-                self.keys.pop(call.idempotency_key, None)
+                self.key_expiry_times.pop(call.idempotency_key, None)
--- a/ashpath/emulator/destination/rate_limit.py
+++ b/ashpath/emulator/destination/rate_limit.py
@@ -22,12 +22,12 @@
         self.random = random
         self.tokens = max(1.0, properties.burst_s * properties.rate_limit)
         self.refilled_at = 0
-        self.window_began = 0
-        self.counted: deque[int] = deque()  # when the calls of the present window came
-        self.history: deque[tuple[int, float]] = deque()  # remaining quota by time, for late reports
+        self.window_started_at = 0
+        self.window_calls: deque[int] = deque()  # when the calls of the present window came
+        self.quota_history: deque[tuple[int, float]] = deque()  # remaining quota by time, for late reports
 
     @property
-    def present_rate(self) -> float:
+    def current_rate(self) -> float:
         """Calls a second, with the faults that are on."""
         return self.properties.rate_limit * self.faults.rate_limit_factor
 
@@ -36,66 +36,72 @@
         return self._admit_in_window(now) if self.properties.rate_window else self._admit_by_token(now)
 
     def _admit_by_token(self, now: int) -> bool:
-        rate = self.present_rate
-        most = max(1.0, self.properties.burst_s * rate)
-        self.tokens = min(most, self.tokens + (now - self.refilled_at) * rate / SECOND)
+        rate = self.current_rate
+        capacity = max(1.0, self.properties.burst_s * rate)
+        self.tokens = min(capacity, self.tokens + (now - self.refilled_at) * rate / SECOND)
         self.refilled_at = now
         admitted = self.tokens >= 1
         if admitted or self.properties.counts_rejected_calls:
-            self.tokens = max(-most, self.tokens - 1)
-        self._record_quota(now, max(0.0, self.tokens / most))
+            self.tokens = max(-capacity, self.tokens - 1)
+        self._record_quota(now, max(0.0, self.tokens / capacity))
         return admitted
 
     def _admit_in_window(self, now: int) -> bool:
         properties = self.properties
-        most = max(1.0, self.present_rate * properties.rate_window / SECOND)
+        capacity = max(1.0, self.current_rate * properties.rate_window / SECOND)
         if properties.rate_window_slides:
-            while self.counted and self.counted[0] <= now - properties.rate_window:
-                self.counted.popleft()
-        elif now >= self.window_began + properties.rate_window:
-            self.window_began = now - now % properties.rate_window
-            self.counted.clear()
-        admitted = len(self.counted) < most
+            while self.window_calls and self.window_calls[0] <= now - properties.rate_window:
+                self.window_calls.popleft()
+        elif now >= self.window_started_at + properties.rate_window:
+            self.window_started_at = now - now % properties.rate_window
+            self.window_calls.clear()
+        admitted = len(self.window_calls) < capacity
         if admitted or properties.counts_rejected_calls:
-            self.counted.append(now)
-        self._record_quota(now, max(0.0, 1 - len(self.counted) / most))
+            self.window_calls.append(now)
+        self._record_quota(now, max(0.0, 1 - len(self.window_calls) / capacity))
         return admitted
 
     def available(self, now: int) -> float:
         """Calls that would be admitted now. Counts nothing; only the oracle may look."""
         properties = self.properties
-        rate = self.present_rate
+        rate = self.current_rate
         if not properties.rate_limit:
             return float("inf")
         if not properties.rate_window:
-            refilled = self.tokens + (now - self.refilled_at) * rate / SECOND
-            return min(max(1.0, properties.burst_s * rate), refilled)
-        most = max(1.0, rate * properties.rate_window / SECOND)
+            available_tokens = self.tokens + (now - self.refilled_at) * rate / SECOND
+            return min(max(1.0, properties.burst_s * rate), available_tokens)
+        capacity = max(1.0, rate * properties.rate_window / SECOND)
         if properties.rate_window_slides:
-            return most - sum(1 for at in self.counted if at > now - properties.rate_window)
-        return most - (0 if now >= self.window_began + properties.rate_window else len(self.counted))
+            return capacity - sum(
+                1 for arrived_at in self.window_calls if arrived_at > now - properties.rate_window
+            )
+        return capacity - (
+            0 if now >= self.window_started_at + properties.rate_window else len(self.window_calls)
+        )
 
     def retry_after(self, now: int) -> int:
         """Retry-After of a call above the limit in microseconds, 0 for none."""
         properties = self.properties
         if properties.retry_after_share < 1 and self.random.random() >= properties.retry_after_share:
             return 0
-        if not (properties.retry_after_until_quota and properties.rate_window and self.counted):
+        if not (properties.retry_after_until_quota and properties.rate_window and self.window_calls):
             return properties.retry_after
-        oldest = self.counted[0] if properties.rate_window_slides else self.window_began
+        oldest = self.window_calls[0] if properties.rate_window_slides else self.window_started_at
         return max(0, oldest + properties.rate_window - now)
 
     def _record_quota(self, now: int, remaining: float) -> None:
         if self.properties.sends_load_reports:
-            self.history.append((now, remaining))
-            while len(self.history) > 1 and self.history[1][0] <= now - self.properties.report_age:
-                self.history.popleft()
+            self.quota_history.append((now, remaining))
+            while (
+                len(self.quota_history) > 1 and self.quota_history[1][0] <= now - self.properties.report_age
+            ):
+                self.quota_history.popleft()
 
     def report(self) -> tuple[float, float] | None:
         """Remaining quota, a share of one, and the rate, both with noise; None where nothing is reported."""
         properties = self.properties
-        if not (properties.sends_load_reports and properties.rate_limit and self.history):
+        if not (properties.sends_load_reports and properties.rate_limit and self.quota_history):
             return None
         noise = self.random.gauss(1, properties.report_noise) if properties.report_noise else 1.0
-        remaining = min(1.0, max(0.0, self.history[0][1] * noise))
-        return remaining, max(0.001, self.present_rate * (2 - noise))
+        remaining = min(1.0, max(0.0, self.quota_history[0][1] * noise))
+        return remaining, max(0.001, self.current_rate * (2 - noise))
--- a/ashpath/emulator/destination/server.py
+++ b/ashpath/emulator/destination/server.py
@@ -33,7 +33,7 @@
 }
 NOT_FOUND = b"HTTP/1.1 404 Not Found"
 TOO_MANY_REQUESTS = b"HTTP/1.1 429 Too Many Requests"
-MOST_WAITING_CONNECTIONS = 512
+LISTEN_BACKLOG = 512
 
 
 class CallObserver(Protocol):
@@ -78,8 +78,8 @@
         self._clock = clock
         self._observer = observer
         self._latency = latency
-        self._open: dict[HttpConnection, None] = {}  # emptied as connections close
-        self._server = StreamServer((LOOPBACK, 0), self._serve, backlog=MOST_WAITING_CONNECTIONS)
+        self._connections: dict[HttpConnection, None] = {}  # emptied as connections close
+        self._server = StreamServer((LOOPBACK, 0), self._serve, backlog=LISTEN_BACKLOG)
         self._server.start()
         self.address = f"{LOOPBACK}:{self._server.server_port}"
 
@@ -90,22 +90,22 @@
 
     def reset_connections(self) -> None:
         """Resets what is open, as a machine that goes down and is seen to."""
-        for connection in list(self._open):
+        for connection in list(self._connections):
             _reset(connection.sock)
 
     def stop(self) -> None:
         """Closes the listening socket and all connections."""
         self._server.stop(timeout=0)
-        for connection in list(self._open):
+        for connection in list(self._connections):
             connection.close()
 
     def _serve(self, sock: socket.socket, _: object) -> None:
-        most = self._model.properties.max_connections
-        if self._model.faults.down or (most and len(self._open) >= most):
+        max_connections = self._model.properties.max_connections
+        if self._model.faults.down or (max_connections and len(self._connections) >= max_connections):
             _reset(sock)
             return
         connection = HttpConnection(sock, self._limits)
-        self._open[connection] = None
+        self._connections[connection] = None
         try:
             new_connection = True
             while self._handle(connection, connection.read_request(), new_connection):
@@ -113,7 +113,7 @@
         except (OSError, ConnectionClosedError, ProtocolError):
             pass
         finally:
-            self._open.pop(connection, None)
+            self._connections.pop(connection, None)
             connection.close()
 
     def _handle(self, connection: HttpConnection, request: HttpRequest, new_connection: bool) -> bool:
@@ -137,7 +137,7 @@
             self._observer.call_arrived(self._clock.now(), self._endpoint, message_id)
         was_answered = False
         try:
-            if not _caller_leaves(connection, call.responds_after):
+            if not _caller_disconnects(connection, call.responds_after):
                 was_answered = self._respond(connection, call)
         finally:
             self._model.call_ended(self._clock.now(), call, message_id)
@@ -154,7 +154,7 @@
             _reset(connection.sock)
             return True
         if self._model.is_unresponsive(self._clock.now()):
-            return not _caller_leaves(connection, NEVER)
+            return not _caller_disconnects(connection, NEVER)
         gevent.sleep(self._latency() / SECOND)
         connection.write(_encode_response(call))
         return True
@@ -166,7 +166,7 @@
     return int(number) if number.isdigit() else 0
 
 
-def _caller_leaves(connection: HttpConnection, within: int) -> bool:
+def _caller_disconnects(connection: HttpConnection, within: int) -> bool:
     """Waits so many microseconds; True if the caller goes before."""
     with suppress(Timeout), Timeout(None if within >= NEVER else within / SECOND):
         connection.receive()
--- a/ashpath/emulator/scenario/conditions.py
+++ b/ashpath/emulator/scenario/conditions.py
@@ -29,11 +29,11 @@
     >>> parse_condition("held = 3") is None
     True
     """
-    for sign in "><":
-        name, found, figure = text.partition(sign)
+    for operator in "><":
+        name, found, number = text.partition(operator)
         if found and name.strip() in SIGNALS:
             try:
-                return FaultCondition(name.strip(), sign == ">", float(figure))
+                return FaultCondition(name.strip(), operator == ">", float(number))
             except ValueError:
                 return None
     return None
--- a/ashpath/emulator/scenario/loading.py
+++ b/ashpath/emulator/scenario/loading.py
@@ -15,8 +15,8 @@
 
 def read_scenario(path: Path) -> Scenario:
     """The scenario of a file. Raises `ashpath.config.loading.InvalidConfigurationError`."""
-    found: Scenario = read_and_validate(path, Scenario, invalid_settings)
-    return found
+    scenario: Scenario = read_and_validate(path, Scenario, invalid_settings)
+    return scenario
 
 
 def invalid_settings(scenario: Scenario) -> list[ConfigurationFault]:
@@ -26,8 +26,8 @@
         *_traffic_faults(scenario),
         *_script_faults(scenario),
         *(
-            ConfigurationFault(("spans", at, "played"), "more than lasts", "at most lasts")
-            for at, span in enumerate(scenario.spans)
+            ConfigurationFault(("spans", index, "played"), "more than lasts", "at most lasts")
+            for index, span in enumerate(scenario.spans)
             if span.simulated_length > span.length
         ),
     ]
@@ -47,26 +47,26 @@
 
 
 def _script_faults(scenario: Scenario) -> Iterator[ConfigurationFault]:
-    groups = {
+    single_destinations = {
         f"{kind}/{rank}" for kind, group in scenario.destinations.items() for rank in range(group.count)
     }
-    destinations = set(scenario.destinations) | groups
+    destinations = set(scenario.destinations) | single_destinations
     senders = {f"sender/{number}" for number in range(scenario.fleet.senders)}
-    for at, fault in enumerate(scenario.faults):
-        yield from _start_faults(at, fault)
+    for index, fault in enumerate(scenario.faults):
+        yield from _start_faults(index, fault)
         allowed = destinations if fault.kind in DESTINATION_FAULTS else senders | destinations
         for name in fault.targets:
             if name not in allowed:
                 expected = "a kind, kind/RANK below count, or sender/N"
-                yield ConfigurationFault(("troubles", at, "to"), repr(name), expected)
+                yield ConfigurationFault(("troubles", index, "to"), repr(name), expected)
 
 
-def _start_faults(at: int, fault: ScriptedFault) -> Iterator[ConfigurationFault]:
+def _start_faults(index: int, fault: ScriptedFault) -> Iterator[ConfigurationFault]:
     if (fault.at is None) == (not fault.condition):
-        yield ConfigurationFault(("troubles", at, "at"), "both or neither of at and when", "one of them")
+        yield ConfigurationFault(("troubles", index, "at"), "both or neither of at and when", "one of them")
     if fault.condition and parse_condition(fault.condition) is None:
         expected = f"SIGNAL > N or < N; signals: {', '.join(SIGNALS)}"
-        yield ConfigurationFault(("troubles", at, "when"), repr(fault.condition), expected)
+        yield ConfigurationFault(("troubles", index, "when"), repr(fault.condition), expected)
 
 
 @dataclass(frozen=True, slots=True)
--- a/ashpath/emulator/scenario/schema.py
+++ b/ashpath/emulator/scenario/schema.py
@@ -25,8 +25,8 @@
     "limit",
     "replace",
 ]
-SurroundingsFaultKind = Literal["directory", "kill", "network", "split", "clock", "traffic"]
-FaultKind = Literal[DestinationFaultKind, SurroundingsFaultKind]
+EnvironmentFaultKind = Literal["directory", "kill", "network", "split", "clock", "traffic"]
+FaultKind = Literal[DestinationFaultKind, EnvironmentFaultKind]
 DESTINATION_FAULTS = get_args(DestinationFaultKind)
 
 
@@ -198,7 +198,7 @@
     jitter: Annotated[float, Key("sigma of its logarithm", 0, 2)] = 0.2
 
 
-class Directory(Struct):
+class DiscoveryDelay(Struct):
     """How late service discovery reports changes of endpoints."""
 
     delay: Annotated[Duration, Key("to the first sender", 0, H)] = Duration(1 * S)
@@ -243,7 +243,7 @@
     fleet: Fleet = field(default_factory=Fleet)
     rules: Rules = field(default_factory=Rules)
     network: Network = field(default_factory=Network)
-    discovery: Directory = field(name="directory", default_factory=Directory)
+    discovery: DiscoveryDelay = field(name="directory", default_factory=DiscoveryDelay)
     faults: Annotated[list[ScriptedFault], Key("the script", 0, 10_000)] = field(
         name="troubles", default_factory=list
     )
--- a/ashpath/emulator/scenario/settings.py
+++ b/ashpath/emulator/scenario/settings.py
@@ -14,11 +14,13 @@
 from ashpath.core.interface import PolicySettings
 from ashpath.core.policy_settings import policy_settings
 from ashpath.emulator.destination.properties import DestinationProperties
-from ashpath.emulator.scenario.schema import DestinationGroup, Directory, Scenario, Span
+from ashpath.emulator.scenario.schema import DestinationGroup, DiscoveryDelay, Scenario, Span
 
-ANY_NUMBER_OF_MESSAGES = 10_000_000
-PROPERTY_KEYS = [
-    one.name for one in fields(DestinationProperties) if one.name in DestinationGroup.__struct_fields__
+UNLIMITED_QUEUE_CAPACITY = 10_000_000
+COPIED_PROPERTIES = [
+    attribute.name
+    for attribute in fields(DestinationProperties)
+    if attribute.name in DestinationGroup.__struct_fields__
 ]
 """Attributes of a destination group that are properties of its destinations as they stand."""
 
@@ -29,7 +31,7 @@
         Name(name): DestinationKind(limit_per_endpoint=group.limit_per_endpoint)
         for name, group in scenario.destinations.items()
     }
-    limits = Limits(queue_capacity=scenario.fleet.queue_capacity or ANY_NUMBER_OF_MESSAGES)
+    limits = Limits(queue_capacity=scenario.fleet.queue_capacity or UNLIMITED_QUEUE_CAPACITY)
     traffic_classes = {Name(name): settings for name, settings in scenario.traffic_classes.items()}
     sender = Sender(Name("day"))
     return Configuration(sender, traffic_classes, kinds=kinds, rules=scenario.rules, limits=limits)
@@ -53,13 +55,13 @@
     if group.samples:
         lines = (folder / group.samples).read_text().split()
         samples = tuple(parse_amount(line, TIMES) for line in lines)
-    named: dict[str, Any] = {}  # each of the type of the property with its name
-    for key in PROPERTY_KEYS:
+    values: dict[str, Any] = {}  # each of the type of the property with its name
+    for key in COPIED_PROPERTIES:
         value = getattr(group, key)
-        named[key] = int(value) if isinstance(value, Duration) else value
-    named["service_times"] = tuple(int(median) for median in group.service_times)
-    named["samples"] = samples
-    return DestinationProperties(**named)
+        values[key] = int(value) if isinstance(value, Duration) else value
+    values["service_times"] = tuple(int(median) for median in group.service_times)
+    values["samples"] = samples
+    return DestinationProperties(**values)
 
 
 def simulated_span_length(span: Span) -> int:
@@ -77,7 +79,7 @@
     return sum(simulated_span_length(span) for span in scenario.spans)
 
 
-def draw_discovery_delay(directory: Directory, random: Random) -> int:
+def draw_discovery_delay(discovery_delay: DiscoveryDelay, random: Random) -> int:
     """Microseconds from a change of endpoints to the update that one sender receives."""
-    spread = int(directory.spread)
-    return int(directory.delay) + (random.randrange(spread) if spread else 0)
+    spread = int(discovery_delay.spread)
+    return int(discovery_delay.delay) + (random.randrange(spread) if spread else 0)
--- a/tests/emulator/destination/test_destination_model.py
+++ b/tests/emulator/destination/test_destination_model.py
@@ -25,14 +25,14 @@
     return model.call_arrived(now, "e", request, 0, key, False)
 
 
-def test_queue_rejects_what_is_too_much() -> None:
+def test_call_beyond_queue_capacity_is_rejected_as_overload() -> None:
     model = model_of(PLAIN)
     calls = [arrive(model, 0, f"w{n}", "key") for n in range(4)]
     assert [call.responds_after for call in calls] == [SECOND, SECOND, 2 * SECOND, 0]
     assert calls[3].result is CallResult.OVERLOADED
 
 
-def test_key_is_recognised_within_its_window() -> None:
+def test_repeated_key_has_no_effect_within_deduplication_window() -> None:
     model = model_of(PLAIN)
     for n in range(4):
         arrive(model, 0, f"w{n}", "key")
@@ -41,7 +41,7 @@
     assert model.tallies["w1"].overlapped
 
 
-def test_outages_slow_start_and_collapse() -> None:
+def test_outage_leads_to_slow_start_and_overload_to_collapse() -> None:
     model = model_of(PLAIN)
     for fault, effects in ((Fault.SILENT, 0), (Fault.HUNG, 1)):
         model.add_fault(fault, 1.0)
@@ -60,7 +60,7 @@
     assert model.is_unresponsive(12 * SECOND)
 
 
-def test_call_whose_caller_has_gone_leaves_the_queue() -> None:
+def test_abandoned_call_leaves_queue_without_effect() -> None:
     model = model_of(
         DestinationProperties(
             workers=1, service_times=(SECOND,), service_time_sigma=0, completes_abandoned_calls=False
@@ -72,7 +72,7 @@
     assert model.tallies["b"].effects == 0, "left the queue before it began"
 
 
-def test_pause_delays_a_call() -> None:
+def test_call_during_pause_starts_at_end_of_pause() -> None:
     model = model_of(
         DestinationProperties(
             service_times=(1000,), service_time_sigma=0, pause_interval=SECOND, pause_time=SECOND // 5
@@ -82,7 +82,7 @@
 
 
 # Properties of a rate limit, and how many of 40 calls, one each 50 ms, are admitted over two seconds.
-RATE_LIMITS = [
+RATE_LIMIT_CASES = [
     (DestinationProperties(rate_limit=4.0), 8, 10),
     (DestinationProperties(rate_limit=4.0, rate_window=SECOND), 8, 8),
     (DestinationProperties(rate_limit=4.0, rate_window=SECOND, rate_window_slides=True), 8, 8),
@@ -97,18 +97,20 @@
 ]
 
 
-@pytest.mark.parametrize(("limit", "least", "most"), RATE_LIMITS)
-def test_rate_limits(limit: DestinationProperties, least: int, most: int) -> None:
+@pytest.mark.parametrize(("rate_limited", "least", "most"), RATE_LIMIT_CASES)
+def test_rate_limit_admits_expected_number_of_calls(
+    rate_limited: DestinationProperties, least: int, most: int
+) -> None:
     model = model_of(
         DestinationProperties(
             workers=50,
             service_times=(1000,),
             sends_load_reports=True,
             retry_after=7,
-            rate_limit=limit.rate_limit,
-            rate_window=limit.rate_window,
-            rate_window_slides=limit.rate_window_slides,
-            counts_rejected_calls=limit.counts_rejected_calls,
+            rate_limit=rate_limited.rate_limit,
+            rate_window=rate_limited.rate_window,
+            rate_window_slides=rate_limited.rate_window_slides,
+            counts_rejected_calls=rate_limited.counts_rejected_calls,
         )
     )
     calls = [arrive(model, n * SECOND // 20, f"w{n}") for n in range(40)]
--- a/tests/emulator/scenario/test_scenario_loading.py
+++ b/tests/emulator/scenario/test_scenario_loading.py
@@ -12,7 +12,7 @@
 from ashpath.emulator.scenario.loading import read_scenario
 
 # What is replaced in a scenario, by what, and what is said of it.
-INVALID = """
+INVALID_SCENARIOS = """
     share = 5          ~ share = -1             ~ partners.bank.share: found -1
     count = 3          ~ count = 0              ~ partners.bank.count: found 0
     kind = "slow"      ~ kind = "slower"        ~ troubles[0].kind: found 'slower'
@@ -27,16 +27,16 @@
 """
 
 
-@pytest.mark.parametrize("row", [row.strip() for row in INVALID.strip().splitlines()])
-def test_invalid_scenario_is_named(tmp_path: Path, row: str) -> None:
-    old, new, said = (part.strip() for part in row.split("~"))
+@pytest.mark.parametrize("row", [row.strip() for row in INVALID_SCENARIOS.strip().splitlines()])
+def test_invalid_scenario_is_reported_with_path_of_faulty_key(tmp_path: Path, row: str) -> None:
+    old, new, message = (part.strip() for part in row.split("~"))
     text = scenario_path("pile").read_text()
     path = tmp_path / "day.toml"
     path.write_text(text.replace(old, new.replace("|", "\n"), 1))
     with pytest.raises(InvalidConfigurationError) as caught:
         read_scenario(path)
-    assert any(said in line for line in caught.value.lines), caught.value.lines
+    assert any(message in line for line in caught.value.lines), caught.value.lines
 
 
-def test_condition() -> None:
+def test_condition_threshold_accepts_exponent_notation() -> None:
     assert parse_condition("held > 1e9") == FaultCondition("held", True, 1e9)
