--- a/ashpath/emulator/destination/__init__.py
+++ b/ashpath/emulator/destination/__init__.py
@@ -1,6 +1,6 @@
-"""A destination that is not real: the model of what its calls meet, free of I/O and of any clock, and the
-HTTP server that plays the model on a socket.
+"""Emulated destinations: a model of a destination without I/O or clock, and an HTTP server that runs the
+model on a socket.
 
-The simulation, runs on loopback and the demonstration use it; a sender never does. The model must not draw
-from any source of chance but the one that it is handed, so that a run can be repeated.
+The simulation, the loopback runs and the demonstration use this package; a sender never does. The model must
+draw random numbers only from the generator that is passed to it, so that runs are reproducible.
 """
--- a/ashpath/emulator/destination/calls.py
+++ b/ashpath/emulator/destination/calls.py
@@ -1,4 +1,4 @@
-"""One call at a destination, and what a destination saw of one client request over all its calls."""
+"""One call at a destination, and the counts that a destination keeps for each client request."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 
 
 class CallResult(Enum):
-    """What the caller of a call meets in the end."""
+    """The result of a call, as its caller sees it."""
 
     OK = "ok"
     ERROR = "error"
     OVERLOADED = "full"
     RESET = "reset"
     REFUSED = "refused"
-    """No connection: the call never came in."""
+    """The connection was refused; the call did not reach the destination."""
     NO_RESPONSE = "nothing"
 
 
 @dataclass(slots=True)
 class RequestTally:
-    """What a destination saw of one client request, over all messages that carried it."""
+    """The counts of one client request at a destination, over all messages that carry it."""
 
     calls: int = 0
     effects: int = 0
-    """Runs that were no recognised repeat."""
+    """Executions, without calls that were recognized as duplicates."""
     in_flight: int = 0
     overlapped: bool = False
-    """A second call was in flight beside the first."""
+    """Whether two calls were in flight at the same time."""
 
 
 @dataclass(eq=False, slots=True)
 class DestinationCall:
-    """One call, and what it meets. Times are microseconds."""
+    """One call and its result. Times are in microseconds."""
 
     result: CallResult
     responds_after: int = 0
-    """From its arrival; NEVER: no response comes."""
+    """Time from the arrival to the response; NEVER if no response is sent."""
     retry_after: int = 0
     remaining_quota: float = -1.0
-    """Of the rate limit, as reported together with `rate_limit`; below 0: nothing is reported."""
+    """The remaining share of the rate limit, reported with `rate_limit`; negative if nothing is reported."""
     rate_limit: float = 0.0
     starts_at: int = 0
-    """When a worker begins with it."""
+    """The time at which a worker starts the call."""
     tally: RequestTally | None = None
     idempotency_key: str | None = None
     has_effect: bool = False
-    """It had an effect, or will."""
+    """Whether the call has had an effect or will have one."""
     key_is_new: bool = False
-    """It put its key among those remembered."""
+    """Whether this call was the one that stored its idempotency key."""
--- a/ashpath/emulator/destination/faults.py
+++ b/ashpath/emulator/destination/faults.py
@@ -1,5 +1,5 @@
-"""Faults of a destination. Several at once compose: factors multiply, shares add, and what is silent is
-silent whatever else is wrong with it."""
+"""Faults of a destination. Concurrent faults combine: factors multiply and shares add. A silent destination
+stays silent, whatever other faults are active."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 
 
 class Fault(Enum):
-    """What may be wrong with a destination. `amount` says how much, where there is a how much.
+    """The kinds of faults of a destination. Some of them are scaled by an `amount`.
 
     The values are the names in scenario files.
     """
 
     SILENT = "silent"
-    """Nothing is answered, nothing runs; open connections stay open."""
+    """Calls are neither answered nor executed; open connections stay open."""
     HUNG = "hung"
-    """Calls come in and wait, and run as the fault ends."""
+    """Calls are accepted and wait; they are executed when the fault ends."""
     DOWN = "down"
-    """Connections are refused, open ones reset."""
+    """New connections are refused and open ones are reset."""
     REJECTING = "shut"
-    """Every call is rejected as overload at once."""
+    """Every call is rejected at once with an overload response."""
     SLOW = "slow"
     """A call takes `amount` times as long."""
     ERRORS = "errors"
-    """A share of calls fails fast, before an effect."""
+    """A share of the calls fails fast, before any effect."""
     ERRORS_AFTER = "errors-after"
-    """A share of calls fails after its effect."""
+    """A share of the calls fails after its effect."""
     LOST_RESPONSES = "lost"
-    """A share of the responses never comes, though the call ran."""
+    """A share of the responses is never sent, although the calls were executed."""
     RESETS = "resets"
-    """A share of the calls is reset, half of them after they ran."""
+    """A share of the calls is reset, half of them after their execution."""
     RATE_LIMIT = "limit"
-    """The rate limit is `amount` times what it was."""
+    """The rate limit is multiplied by `amount`."""
 
 
 OUTAGE_FAULTS = (Fault.SILENT, Fault.HUNG, Fault.DOWN, Fault.REJECTING)
 
 
 class ActiveFaults:
-    """The faults that are on, and what they come to together.
+    """The active faults of a destination and their combined effect.
 
-    Shares of errors begin at the destination's own.
+    The error shares start from those of the destination's properties.
     """
 
     def __init__(self, error_share: float, error_after_share: float) -> None:
@@ -50,12 +50,12 @@
         self._recompute()
 
     def add(self, fault: Fault, amount: float) -> None:
-        """Puts a fault on."""
+        """Activates a fault."""
         self._active.append((fault, amount))
         self._recompute()
 
     def remove(self, fault: Fault, amount: float) -> None:
-        """Takes off a fault that was put on with the same amount."""
+        """Deactivates a fault that was activated with the same amount. Raises ValueError if there is none."""
         self._active.remove((fault, amount))
         self._recompute()
 
--- a/ashpath/emulator/destination/model.py
+++ b/ashpath/emulator/destination/model.py
@@ -1,12 +1,12 @@
-"""A destination as a model, free of I/O and of any clock: what a call meets, and what effect it has.
+"""A model of a destination without I/O or clock, which determines the result and the effect of each call.
 
-Whoever plays the model says what time it is, in whole microseconds, and carries out what it says. Every draw
-comes from the `Random` that it is handed. A destination is in one of these states:
+The caller of the model passes the time in whole microseconds and carries out the results. All random numbers
+come from the `Random` that is passed to the model. A destination is in one of these states:
 
     healthy     full speed
-    outage      one of OUTAGE_FAULTS is on; each decides for itself what becomes of a call
-    slow start  after an outage: `cold_share` of its speed, rising to all of it over `ramp`
-    collapsed   pushed over by too many calls in slow start: silent for `fall_down`, then slow start again
+    outage      one of OUTAGE_FAULTS is active and determines the results of calls
+    slow start  after an outage: the speed rises from `slow_start_share` to 1 within `slow_start_time`
+    collapsed   after an overload in slow start: silent for `collapse_time`, then slow start again
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from ashpath.emulator.destination.rate_limit import DestinationRateLimit
 from ashpath.emulator.units import NEVER, SECOND
 
-ERROR_RESPONSE_TIME = 1000  # microseconds until an error that comes before the effect
+ERROR_RESPONSE_TIME = 1000  # microseconds to the response of a call that fails before its effect
 
 
 @dataclass(eq=False, slots=True)
@@ -30,17 +30,17 @@
     """One endpoint of a destination."""
 
     workers_free_at: list[int]
-    """When each worker is free: a heap; endpoints that share workers have the same one."""
+    """The time at which each worker becomes free, as a heap. Endpoints that share workers share the heap."""
     queued_starts: deque[int] = field(default_factory=deque)
-    """When the calls that wait will start; emptied as they do."""
+    """Start times of the waiting calls; those that have started are removed when a call arrives."""
     connections: int = 0
 
 
 class DestinationModel:
-    """One destination. `key_expiry_times` is emptied as deduplication windows pass.
+    """One destination. An entry of `key_expiry_times` is removed after the deduplication window.
 
-    `tallies` grows with the run, as its checks need them, unless `keeps_tallies` is off: then with the
-    calls in flight.
+    `tallies` keeps all client requests of a run for the checks at its end. If `keeps_tallies` is false, it
+    holds only requests with a call in flight.
     """
 
     def __init__(
@@ -57,14 +57,14 @@
         self.endpoints: dict[str, EndpointState] = {}
         for endpoint in endpoints:
             self.add_endpoint(endpoint)
-        self.key_expiry_times: OrderedDict[str, int] = OrderedDict()  # until when each is remembered
+        self.key_expiry_times: OrderedDict[str, int] = OrderedDict()  # by idempotency key
         self.tallies: dict[str, RequestTally] = {}
         self.faults = ActiveFaults(properties.error_share, properties.error_after_effect_share)
         self.rate_limit = DestinationRateLimit(properties, self.faults, random)
-        self.recovered_at = -NEVER  # when the latest outage ended
+        self.recovered_at = -NEVER  # end of the latest outage
         self.collapsed_until = -NEVER
         self.collapses = 0
-        self._recovery_calls: deque[int] = deque()  # arrivals over the latest fall_time, in slow start
+        self._recovery_calls: deque[int] = deque()  # arrivals in slow start within overload_duration
         mean = sum(properties.service_times) / len(properties.service_times)
         self.capacity = (
             properties.workers * SECOND / mean * (1 if properties.shares_workers else len(endpoints))
@@ -72,26 +72,26 @@
         if properties.rate_limit:
             self.capacity = min(self.capacity, properties.rate_limit)
 
-    # Endpoints come and go.
+    # Endpoints.
 
     def add_endpoint(self, endpoint: str) -> None:
-        """A new endpoint, with workers of its own unless they are shared."""
+        """Adds an endpoint, with workers of its own unless the endpoints share them."""
         properties = self.properties
         workers = self._shared_workers if properties.shares_workers else [0] * properties.workers
         self.endpoints[endpoint] = EndpointState(workers)
 
     def remove_endpoint(self, endpoint: str) -> None:
-        """It refuses calls from now on."""
+        """Removes an endpoint. Further calls to it are refused."""
         self.endpoints.pop(endpoint, None)
 
     # Faults.
 
     def add_fault(self, fault: Fault, amount: float) -> None:
-        """Puts a fault on."""
+        """Activates a fault."""
         self.faults.add(fault, amount)
 
     def remove_fault(self, fault: Fault, amount: float, now: int) -> None:
-        """Takes a fault off; if the destination was in an outage and no longer is, slow start begins."""
+        """Deactivates a fault. If this ends an outage, slow start begins."""
         was_in_outage = self.in_outage()
         self.faults.remove(fault, amount)
         if was_in_outage and not self.in_outage():
@@ -99,15 +99,15 @@
             self._recovery_calls.clear()
 
     def in_outage(self) -> bool:
-        """Whether one of OUTAGE_FAULTS is on."""
+        """Returns whether one of OUTAGE_FAULTS is active."""
         return self.faults.has_outage
 
     def is_unresponsive(self, now: int) -> bool:
-        """Whether no call is answered now, not even one that came in before."""
+        """Returns whether no call is answered now, including calls that arrived earlier."""
         return self.faults.silent or self.faults.hung or now < self.collapsed_until
 
     def speed(self, now: int) -> float:
-        """Its present share of its full speed, as of the recovery ramp."""
+        """Returns the current speed as a share of the full speed; it is below 1 in slow start."""
         time_since_recovery = now - self.recovered_at
         properties = self.properties
         if time_since_recovery >= properties.slow_start_time:
@@ -122,7 +122,10 @@
     def call_arrived(
         self, now: int, endpoint: str, request: str, traffic_class: int, key: str | None, new_connection: bool
     ) -> DestinationCall:
-        """A call has come in whole. `new_connection`: it is the first on its connection."""
+        """Returns the result of a call that has arrived completely.
+
+        `new_connection` is true for the first call on a connection.
+        """
         state = self.endpoints.get(endpoint)
         if state is None or self.faults.down:
             return DestinationCall(CallResult.REFUSED)
@@ -137,7 +140,7 @@
         if self.faults.silent or now < self.collapsed_until:
             return call
         if self.faults.hung:
-            self._record_effect(now, call)  # it runs as the hang ends, and nobody receives the response
+            self._record_effect(now, call)  # executed when the fault ends; no caller receives the response
             return call
         if self._rejects(now, state, call):
             return self._with_report(call)
@@ -157,7 +160,7 @@
         return self._with_report(call)
 
     def call_ended(self, now: int, call: DestinationCall, request: str) -> None:
-        """The response is written, or the caller has gone."""
+        """Ends a call, whose response has been written or whose caller has disconnected."""
         tally = call.tally
         if tally is None:
             return
@@ -177,7 +180,7 @@
         return tally
 
     def _rejects(self, now: int, state: EndpointState, call: DestinationCall) -> bool:
-        """Answers a call that is above the rate limit or finds the queue full; False: it is admitted."""
+        """Rejects a call that is above the rate limit or finds the queue full; returns whether it did."""
         rejecting = self.faults.rejecting
         if rejecting or (self.properties.rate_limit and not self.rate_limit.admit(now)):
             call.retry_after = 0 if rejecting else self.rate_limit.retry_after(now)
@@ -194,7 +197,7 @@
     def _assign_worker(
         self, now: int, state: EndpointState, call: DestinationCall, service_time: float
     ) -> None:
-        """The worker that is free first takes the call."""
+        """Assigns the call to the worker that is free first."""
         start = max(now, state.workers_free_at[0])
         if self.properties.pause_interval:
             start = self._after_pause(start)
@@ -208,7 +211,11 @@
         call.responds_after = end - now
 
     def _apply_failure_shares(self, draw: float, call: DestinationCall) -> None:
-        """What becomes of a call that ran, by one draw from 0 on."""
+        """Applies errors, lost responses and resets to a call by one random number.
+
+        The number is relative to the share of errors before the effect. Half of the resets come before the
+        execution and undo the effect.
+        """
         faults = self.faults
         if draw < faults.error_after_share:
             call.result = CallResult.ERROR
@@ -250,7 +257,7 @@
         return call
 
     def _causes_collapse(self, now: int) -> bool:
-        """A call in slow start: whether it is one too many for too long."""
+        """Returns whether a call in slow start completes an overload that makes the destination collapse."""
         properties = self.properties
         calls = self._recovery_calls
         calls.append(now)
@@ -262,7 +269,10 @@
         return len(calls) > load * properties.overload_duration / SECOND
 
     def _record_effect(self, now: int, call: DestinationCall) -> None:
-        """It runs, whether or not anybody waits for the response, unless its key is still known."""
+        """Records the effect of a call, unless its idempotency key is still remembered.
+
+        The effect does not depend on whether the caller still waits for the response.
+        """
         key_expiry_times = self.key_expiry_times
         while key_expiry_times and next(iter(key_expiry_times.values())) <= now:
             key_expiry_times.popitem(last=False)
@@ -275,7 +285,7 @@
                 call.key_is_new = True
 
     def _undo_effect(self, call: DestinationCall) -> None:
-        """It will not run after all."""
+        """Reverts the effect of a call that is not executed, and forgets the key that the call stored."""
         if call.has_effect and call.tally is not None:
             call.has_effect = False
             call.tally.effects -= 1
--- a/ashpath/emulator/destination/properties.py
+++ b/ashpath/emulator/destination/properties.py
@@ -1,4 +1,4 @@
-"""What a destination is like. The keys of scenario files are mapped in `scenario/schema.py`."""
+"""The properties of a destination. `scenario/schema.py` maps the keys of scenario files to them."""
 
 from __future__ import annotations
 
@@ -11,68 +11,68 @@
 class DestinationProperties:
     """The properties of a destination that no fault changes.
 
-    Times are microseconds, rates calls a second, shares parts of one.
+    Times are in microseconds, rates in calls per second, and shares are fractions of 1.
     """
 
     workers: int = 4
-    """Calls that run at once, at each endpoint or at all of them together."""
+    """Concurrent calls that are executed, per endpoint or by all endpoints together."""
     shares_workers: bool = False
-    """The endpoints share the workers."""
+    """Whether all endpoints share the workers."""
     service_times: tuple[int, ...] = (50_000,)
-    """The median time of a call, by traffic class; the last one for all further classes."""
+    """The median service time by traffic class; the last one applies to all further classes."""
     service_time_sigma: float = 0.3
-    """Sigma of the time's logarithm."""
+    """The standard deviation of the logarithm of the service time."""
     tail_share: float = 0.0
-    """Share of calls that take `tail_factor` times as long."""
+    """The share of calls that take `tail_factor` times as long."""
     tail_factor: float = 10.0
     samples: tuple[int, ...] = ()
-    """Times are drawn from these instead."""
+    """If not empty, service times are drawn from these values instead of the distribution."""
     queue_capacity: int = 8
-    """Calls that wait at an endpoint; further ones are rejected as overload."""
+    """The largest number of calls that wait at an endpoint; further ones are rejected as overload."""
     rate_limit: float = 0.0
-    """The rate limit; 0: none."""
+    """The rate limit; 0 for none."""
     rate_window: int = 0
-    """The rate limit counts calls in windows of this; 0: a token bucket."""
+    """The length of the windows in which the rate limit counts calls; 0 for a token bucket."""
     rate_window_slides: bool = False
-    """The window is always the latest one; else one begins as the other ends."""
+    """Whether the window slides; otherwise each fixed window starts when the previous one ends."""
     counts_rejected_calls: bool = False
-    """Rejected calls use the rate limit up as well."""
+    """Whether rejected calls count against the rate limit too."""
     burst_s: float = 0.5
-    """Token bucket: seconds of the rate that may come at once."""
+    """The capacity of the token bucket, in seconds at the full rate."""
     retry_after: int = 0
-    """Retry-After of a call above the rate limit; 0: none is sent."""
+    """The Retry-After of a call above the rate limit; 0 if none is sent."""
     retry_after_until_quota: bool = False
-    """Retry-After is instead the time until the window has quota again."""
+    """Whether Retry-After is instead the time until the window has quota again."""
     retry_after_share: float = 1.0
-    """The share of calls above the rate limit that are answered with Retry-After."""
+    """The share of rejections above the rate limit that carry Retry-After."""
     sends_load_reports: bool = False
-    """Answers carry a limit report: the remaining quota, and the rate."""
+    """Whether responses carry a load report: the remaining quota and the rate."""
     report_noise: float = 0.0
-    """Sigma of what is reported."""
+    """The standard deviation of the noise factor in load reports."""
     report_age: int = 0
-    """What is reported is as old as this."""
+    """The age of the values in load reports."""
     max_connections: int = 0
-    """Connections that an endpoint holds, idle ones counted; 0: any number."""
+    """The largest number of connections to an endpoint, including idle ones; 0 for no limit."""
     connection_setup_time: int = 0
-    """What a new connection adds to the time of its first call."""
+    """The time that a new connection adds to its first call."""
     slow_start_share: float = 0.2
-    """The share of its speed that it has right after an outage."""
+    """The share of the full speed right after an outage."""
     slow_start_time: int = 10 * SECOND
-    """Length of the recovery ramp, from `slow_start_share` to full speed."""
+    """The length of slow start, in which the speed rises from `slow_start_share` to 1."""
     overload_multiple: float = 2.0
-    """In slow start, more calls than so many times its capacity,"""
+    """The multiple of its capacity in slow start above which a destination is overloaded."""
     overload_duration: int = 3 * SECOND
-    """for so long, make it collapse,"""
+    """The duration of an overload in slow start after which the destination collapses."""
     collapse_time: int = 15 * SECOND
-    """and it is silent for so long."""
+    """The time for which the destination is silent after a collapse."""
     pause_interval: int = 0
-    """It pauses this often, for a garbage collection say; 0: never."""
+    """The interval between pauses, such as those of a garbage collector; 0 for no pauses."""
     pause_time: int = 0
     deduplication_window: int = 5 * SECOND
-    """Deduplication window: for so long a repeated key is recognised."""
+    """The time for which an idempotency key is remembered and duplicates are recognized."""
     completes_abandoned_calls: bool = True
-    """A call whose caller has gone is worked on all the same; else it leaves the queue."""
+    """Whether a call whose caller has disconnected is still executed; otherwise it leaves the queue."""
     error_share: float = 0.0
-    """Share of calls that fail before they had an effect."""
+    """The share of calls that fail before their effect."""
     error_after_effect_share: float = 0.0
-    """And after it."""
+    """The share of calls that fail after their effect."""
--- a/ashpath/emulator/destination/rate_limit.py
+++ b/ashpath/emulator/destination/rate_limit.py
@@ -13,7 +13,8 @@
 class DestinationRateLimit:
     """The state of one rate limit.
 
-    It grows with the calls of one window, and with the calls of `late` where answers carry limit reports.
+    Its memory grows with the calls of one window and, if responses carry load reports, with the calls within
+    `report_age`.
     """
 
     def __init__(self, properties: DestinationProperties, faults: ActiveFaults, random: Random) -> None:
@@ -23,16 +24,16 @@
         self.tokens = max(1.0, properties.burst_s * properties.rate_limit)
         self.refilled_at = 0
         self.window_started_at = 0
-        self.window_calls: deque[int] = deque()  # when the calls of the present window came
-        self.quota_history: deque[tuple[int, float]] = deque()  # remaining quota by time, for late reports
+        self.window_calls: deque[int] = deque()  # arrival times of the calls in the current window
+        self.quota_history: deque[tuple[int, float]] = deque()  # (time, remaining quota), for delayed reports
 
     @property
     def current_rate(self) -> float:
-        """Calls a second, with the faults that are on."""
+        """The rate limit in calls per second, with the active faults applied."""
         return self.properties.rate_limit * self.faults.rate_limit_factor
 
     def admit(self, now: int) -> bool:
-        """Whether one more call is within the limit; it is counted."""
+        """Counts a call and returns whether it is within the limit."""
         return self._admit_in_window(now) if self.properties.rate_window else self._admit_by_token(now)
 
     def _admit_by_token(self, now: int) -> bool:
@@ -62,7 +63,10 @@
         return admitted
 
     def available(self, now: int) -> float:
-        """Calls that would be admitted now. Counts nothing; only the oracle may look."""
+        """Returns the number of calls that would be admitted now, without counting any.
+
+        Only the oracle baseline may call this: a real sender cannot see the value.
+        """
         properties = self.properties
         rate = self.current_rate
         if not properties.rate_limit:
@@ -80,7 +84,7 @@
         )
 
     def retry_after(self, now: int) -> int:
-        """Retry-After of a call above the limit in microseconds, 0 for none."""
+        """Returns the Retry-After of a call above the limit in microseconds, or 0 for none."""
         properties = self.properties
         if properties.retry_after_share < 1 and self.random.random() >= properties.retry_after_share:
             return 0
@@ -98,7 +102,10 @@
                 self.quota_history.popleft()
 
     def report(self) -> tuple[float, float] | None:
-        """Remaining quota, a share of one, and the rate, both with noise; None where nothing is reported."""
+        """Returns the remaining quota as a fraction of 1 and the rate in calls per second, both with noise.
+
+        Returns None if the destination sends no load reports.
+        """
         properties = self.properties
         if not (properties.sends_load_reports and properties.rate_limit and self.quota_history):
             return None
--- a/ashpath/emulator/destination/server.py
+++ b/ashpath/emulator/destination/server.py
@@ -1,6 +1,6 @@
-"""Plays the model of a destination over HTTP/1.1 on loopback, as a sender calls it.
+"""An HTTP/1.1 server on loopback that answers a sender's calls according to the model of a destination.
 
-Failures are as sockets have them: connections that are reset, and open ones that say nothing.
+Failures appear as they do on sockets: connections are reset, or stay open without a response.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 
 
 class CallObserver(Protocol):
-    """Who is notified of each call at a destination. Times are microseconds of the run's clock."""
+    """Receives the calls of a destination. Times are in microseconds of the run's clock."""
 
     def call_arrived(self, at: int, endpoint: str, message_id: str) -> None:
-        """A call has come in whole."""
+        """Records that a call has arrived completely."""
 
     def call_ended(
         self,
@@ -52,16 +52,19 @@
         *,
         was_answered: bool,
     ) -> None:
-        """The response is written, or the caller has gone."""
+        """Records that the response has been written or that the caller has disconnected."""
 
 
 def no_latency() -> float:
-    """Microseconds that a message takes where no network is emulated."""
+    """Returns the one-way latency in microseconds where no network is emulated."""
     return 0.0
 
 
 class DestinationServer:
-    """One endpoint of a destination, from its making to `stop`. `latency` is microseconds each way, drawn."""
+    """The server of one endpoint, which listens from its construction until `stop`.
+
+    `latency` draws a one-way latency in microseconds.
+    """
 
     def __init__(
         self,
@@ -78,18 +81,18 @@
         self._clock = clock
         self._observer = observer
         self._latency = latency
-        self._connections: dict[HttpConnection, None] = {}  # emptied as connections close
+        self._connections: dict[HttpConnection, None] = {}  # open ones, as an ordered set
         self._server = StreamServer((LOOPBACK, 0), self._serve, backlog=LISTEN_BACKLOG)
         self._server.start()
         self.address = f"{LOOPBACK}:{self._server.server_port}"
 
     def replace_by(self, endpoint: str) -> None:
-        """Resets what is open; from now on another endpoint of the destination has the address."""
+        """Resets all connections and serves another endpoint of the destination at the same address."""
         self.reset_connections()
         self._endpoint = endpoint
 
     def reset_connections(self) -> None:
-        """Resets what is open, as a machine that goes down and is seen to."""
+        """Resets all connections, as a crash of the process does."""
         for connection in list(self._connections):
             _reset(connection.sock)
 
@@ -117,7 +120,7 @@
             connection.close()
 
     def _handle(self, connection: HttpConnection, request: HttpRequest, new_connection: bool) -> bool:
-        """One call and its response; whether the connection goes on."""
+        """Handles one request and returns whether the connection stays open."""
         if request.path != wire_names.DELIVERY_PATH:
             connection.write(encode_message(NOT_FOUND, [], b""))
             return request.keep_alive
@@ -148,7 +151,10 @@
         return was_answered and request.keep_alive and not connection.unusable
 
     def _respond(self, connection: HttpConnection, call: DestinationCall) -> bool:
-        """The response, if this end still answers; whether its caller can receive it."""
+        """Writes the response or resets the connection, as the model determines.
+
+        Returns False if the destination is unresponsive and the caller disconnects.
+        """
         if call.result in (CallResult.RESET, CallResult.REFUSED) or self._model.faults.down:
             connection.unusable = True
             _reset(connection.sock)
@@ -161,13 +167,16 @@
 
 
 def _traffic_class(body: bytes) -> int:
-    """Bodies of stand-in clients begin with the number of the traffic class."""
+    """Returns the number of the traffic class at the start of an emulated client's body, or 0 without one."""
     number = body[:2].strip()
     return int(number) if number.isdigit() else 0
 
 
 def _caller_disconnects(connection: HttpConnection, within: int) -> bool:
-    """Waits so many microseconds; True if the caller goes before."""
+    """Returns whether the caller disconnects or sends more bytes within that many microseconds.
+
+    Waits without a timeout for NEVER.
+    """
     with suppress(Timeout), Timeout(None if within >= NEVER else within / SECOND):
         connection.receive()
         return True
@@ -186,7 +195,7 @@
 
 
 def _reset(sock: socket.socket) -> None:
-    """Ends a connection as a process that died does."""
+    """Closes a connection with a TCP reset, as a crash of the process does."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
--- a/ashpath/emulator/scenario/__init__.py
+++ b/ashpath/emulator/scenario/__init__.py
@@ -1,5 +1,6 @@
-"""A scenario's file: its form, its checks, and what is made of it for senders and destinations.
+"""Scenario files: their schema, their validation, and their conversion to settings of senders and properties
+of destinations.
 
-The simulation, runs on loopback, the benchmarks and `ashpath check` read scenarios. Nothing here may depend
-on which clock plays the scenario.
+The simulation, the loopback runs, the benchmarks and `ashpath check` read scenarios. This package must not
+depend on whether a scenario runs in simulated or in real time.
 """
--- a/ashpath/emulator/scenario/conditions.py
+++ b/ashpath/emulator/scenario/conditions.py
@@ -3,24 +3,24 @@
 from typing import NamedTuple
 
 SIGNALS = ("handed_in", "completed", "bounced", "aborted", "held", "out")
-"""As written in files: requests created, delivered, rejected and failed; messages held, attempts in
+"""The names in scenario files: requests created, delivered, rejected and failed; messages held, attempts in
 flight."""
 
 
 class FaultCondition(NamedTuple):
-    """A fault begins as soon as the signal is above the threshold, or below it."""
+    """A threshold of a signal. The fault begins as soon as the signal is above or below it."""
 
     signal: str
     above: bool
     threshold: float
 
     def is_met(self, value: float) -> bool:
-        """Whether the signal's value meets it."""
+        """Returns whether the signal's value meets the condition."""
         return value > self.threshold if self.above else value < self.threshold
 
 
 def parse_condition(text: str) -> FaultCondition | None:
-    """The condition that a text says; None where it says none.
+    """Returns the condition in a text, or None if the text is not a valid condition.
 
     >>> parse_condition("completed > 500")
     FaultCondition(signal='completed', above=True, threshold=500.0)
--- a/ashpath/emulator/scenario/loading.py
+++ b/ashpath/emulator/scenario/loading.py
@@ -1,4 +1,4 @@
-"""Reads a scenario from its file, and says what each key alone allows and together cannot be."""
+"""Reads a scenario from its file, and validates each key and the constraints between keys."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -14,13 +14,13 @@
 
 
 def read_scenario(path: Path) -> Scenario:
-    """The scenario of a file. Raises `ashpath.config.loading.InvalidConfigurationError`."""
+    """Returns the scenario in a file. Raises InvalidConfigurationError."""
     scenario: Scenario = read_and_validate(path, Scenario, invalid_settings)
     return scenario
 
 
 def invalid_settings(scenario: Scenario) -> list[ConfigurationFault]:
-    """All that is wrong beyond single keys, in the order of the file's sections."""
+    """Returns the faults in combinations of keys, in the order of the file's sections."""
     return [
         *time_conflicts(sender_configuration(scenario)),
         *_traffic_faults(scenario),
@@ -38,11 +38,13 @@
     for name in mix:
         if name not in scenario.traffic_classes:
             expected = "one of " + ", ".join(scenario.traffic_classes)
-            yield ConfigurationFault(("clients", "mix", name), "a track", expected)
+            yield ConfigurationFault(("clients", "mix", name), "an undefined track", expected)
     if sum(mix.values()) <= 0 or min(mix.values()) < 0:
-        yield ConfigurationFault(("clients", "mix"), "shares", "none below 0, and one above it")
+        yield ConfigurationFault(
+            ("clients", "mix"), "invalid shares", "none below 0, and at least one above 0"
+        )
     if sum(group.traffic_share for group in scenario.destinations.values()) <= 0:
-        expected = "one kind with a share of the traffic"
+        expected = "at least one kind with a share above 0"
         yield ConfigurationFault(("partners",), "no share above 0", expected)
 
 
@@ -63,15 +65,15 @@
 
 def _start_faults(index: int, fault: ScriptedFault) -> Iterator[ConfigurationFault]:
     if (fault.at is None) == (not fault.condition):
-        yield ConfigurationFault(("troubles", index, "at"), "both or neither of at and when", "one of them")
+        yield ConfigurationFault(("troubles", index, "at"), "both or neither of at and when", "exactly one")
     if fault.condition and parse_condition(fault.condition) is None:
-        expected = f"SIGNAL > N or < N; signals: {', '.join(SIGNALS)}"
+        expected = f"SIGNAL > N or SIGNAL < N; signals: {', '.join(SIGNALS)}"
         yield ConfigurationFault(("troubles", index, "when"), repr(fault.condition), expected)
 
 
 @dataclass(frozen=True, slots=True)
 class ScenarioSize:
-    """How large a scenario is."""
+    """The size of a scenario: its senders, its destinations and its simulated length in seconds."""
 
     senders: int
     destinations: int
@@ -79,6 +81,6 @@
 
 
 def scenario_size(scenario: Scenario) -> ScenarioSize:
-    """How large a scenario is, as played."""
+    """Returns the size of a scenario."""
     destinations = sum(group.count for group in scenario.destinations.values())
     return ScenarioSize(scenario.fleet.senders, destinations, simulated_length(scenario) / SECOND)
--- a/ashpath/emulator/scenario/schema.py
+++ b/ashpath/emulator/scenario/schema.py
@@ -1,7 +1,7 @@
-"""The form of a scenario's file: the fleet, destinations, clients, network, and a script of faults.
+"""The schema of a scenario file: the fleet, destinations, clients, network, and a script of faults.
 
-An attribute has the standard term, and `field(name=...)` the key that users write, where that is another one.
-`ashpath check` knows these files; the library's stand in `ashpath/emulator/scenarios`.
+An attribute is named by the standard term. If the key that users write differs, `field(name=...)` gives the
+key. `ashpath check` validates these files. The scenarios of the project are in `ashpath/emulator/scenarios`.
 """
 
 from typing import Annotated, Literal, get_args
@@ -31,14 +31,14 @@
 
 
 class About(Struct):
-    """What the scenario is, and what it teaches."""
+    """The purpose of the scenario."""
 
     lesson: Annotated[str, Key("one line on what it teaches", 1, 200)]
     incident: Annotated[str, Key("the page of docs/incidents that it rebuilds", 0, 100)] = ""
 
 
 class Fleet(Struct):
-    """The senders."""
+    """The senders of the scenario."""
 
     senders: Annotated[int, Key("how many", 1, 1000)] = 3
     rank_exponent: Annotated[
@@ -53,7 +53,7 @@
 
 
 class DestinationGroup(Struct):
-    """Destinations of one kind."""
+    """The destinations of one kind."""
 
     count: Annotated[int, Key("how many destinations", 1, 100_000)]
     traffic_share: Annotated[
@@ -152,9 +152,9 @@
 
 
 class Span(Struct):
-    """A stretch of the scenario.
+    """A period of the scenario.
 
-    A quiet one may be thinned: played for less than it lasts, and weighted more.
+    A quiet period may be simulated for less than its length; its requests then have a larger weight.
     """
 
     length: Annotated[Duration, Key("how long it is", MS, 400 * D)] = field(name="lasts")
@@ -169,7 +169,7 @@
 
 
 class Clients(Struct):
-    """Who submits requests."""
+    """The clients, which submit requests."""
 
     traffic_class_shares: Annotated[dict[Name, float], Key("share of each traffic class", 1, 64)] = field(
         name="mix"
@@ -192,14 +192,14 @@
 
 
 class Network(Struct):
-    """Between senders and destinations."""
+    """The network between senders and destinations."""
 
     latency: Annotated[Duration, Key("one way", 0, MIN)] = Duration(8 * MS)
     jitter: Annotated[float, Key("sigma of its logarithm", 0, 2)] = 0.2
 
 
 class DiscoveryDelay(Struct):
-    """How late service discovery reports changes of endpoints."""
+    """The delay with which service discovery reports changes of endpoints."""
 
     delay: Annotated[Duration, Key("to the first sender", 0, H)] = Duration(1 * S)
     spread: Annotated[Duration, Key("and so much later to the last", 0, H)] = Duration(2 * S)
@@ -229,7 +229,7 @@
 
 
 class Scenario(Struct):
-    """The whole file."""
+    """The contents of a scenario file."""
 
     about: About = field(name="day")
     traffic_classes: Annotated[dict[Name, TrafficClass], Key("as in a sender's file", 1, 64)] = field(
--- a/ashpath/emulator/scenario/settings.py
+++ b/ashpath/emulator/scenario/settings.py
@@ -1,5 +1,5 @@
-"""What a scenario's keys come to: settings of its senders, properties of its destinations, lengths of its
-spans."""
+"""Conversion of a scenario to the settings of its senders, the properties of its destinations and the lengths
+of its spans."""
 
 from dataclasses import fields
 from pathlib import Path
@@ -16,17 +16,17 @@
 from ashpath.emulator.destination.properties import DestinationProperties
 from ashpath.emulator.scenario.schema import DestinationGroup, DiscoveryDelay, Scenario, Span
 
-UNLIMITED_QUEUE_CAPACITY = 10_000_000
+UNLIMITED_QUEUE_CAPACITY = 10_000_000  # messages
 COPIED_PROPERTIES = [
     attribute.name
     for attribute in fields(DestinationProperties)
     if attribute.name in DestinationGroup.__struct_fields__
 ]
-"""Attributes of a destination group that are properties of its destinations as they stand."""
+"""Attributes of a destination group that are copied to the properties of its destinations, by name."""
 
 
 def sender_configuration(scenario: Scenario) -> Configuration:
-    """What the senders of the scenario would be started with, less their destinations."""
+    """Returns the configuration of the scenario's senders, without their destinations."""
     kinds = {
         Name(name): DestinationKind(limit_per_endpoint=group.limit_per_endpoint)
         for name, group in scenario.destinations.items()
@@ -38,24 +38,24 @@
 
 
 def sender_settings(scenario: Scenario, seed: int, number: int) -> PolicySettings:
-    """The settings of one sender's policy."""
+    """Returns the policy settings of one sender."""
     configuration = sender_configuration(scenario)
     configuration.sender.number = number
     configuration.sender.senders = scenario.fleet.senders
     settings = policy_settings(seed, platform_form(configuration, "0")["settings"])
-    return replace(settings, reports_full_connection_table=True)  # as on sockets
+    return replace(settings, reports_full_connection_table=True)  # as a sender on sockets does
 
 
 def destination_properties(group: DestinationGroup, folder: Path) -> DestinationProperties:
-    """The properties of a kind of destination, with its samples read from the folder.
+    """Returns the properties of a kind of destination. The file of its samples is read from the folder.
 
-    Raises ValueError or OSError where the samples cannot be read.
+    Raises ValueError or OSError if the samples cannot be read.
     """
     samples: tuple[int, ...] = ()
     if group.samples:
         lines = (folder / group.samples).read_text().split()
         samples = tuple(parse_amount(line, TIMES) for line in lines)
-    values: dict[str, Any] = {}  # each of the type of the property with its name
+    values: dict[str, Any] = {}  # by property; each has the type of its property
     for key in COPIED_PROPERTIES:
         value = getattr(group, key)
         values[key] = int(value) if isinstance(value, Duration) else value
@@ -65,21 +65,21 @@
 
 
 def simulated_span_length(span: Span) -> int:
-    """Microseconds that are played of it."""
+    """Returns the simulated length of a span in microseconds."""
     return int(span.simulated_length or span.length)
 
 
 def span_weight(span: Span) -> float:
-    """What each request of it counts: more than 1 where the span is thinned."""
+    """Returns the weight of each request of a span; above 1 if only a part of the span is simulated."""
     return span.length / simulated_span_length(span)
 
 
 def simulated_length(scenario: Scenario) -> int:
-    """Microseconds of the scenario, as played."""
+    """Returns the simulated length of the scenario in microseconds."""
     return sum(simulated_span_length(span) for span in scenario.spans)
 
 
 def draw_discovery_delay(discovery_delay: DiscoveryDelay, random: Random) -> int:
-    """Microseconds from a change of endpoints to the update that one sender receives."""
+    """Returns the random delay in microseconds from a change of endpoints to its update at one sender."""
     spread = int(discovery_delay.spread)
     return int(discovery_delay.delay) + (random.randrange(spread) if spread else 0)
--- a/tests/emulator/destination/test_destination_model.py
+++ b/tests/emulator/destination/test_destination_model.py
@@ -1,4 +1,5 @@
-"""The model of a destination, in simulated time: queue, keys, faults, slow start and collapse, pauses."""
+"""The model of a destination in simulated time: queue, idempotency keys, faults, slow start, collapse, pauses
+and rate limits."""
 
 from __future__ import annotations
 
@@ -36,7 +37,7 @@
     model = model_of(PLAIN)
     for n in range(4):
         arrive(model, 0, f"w{n}", "key")
-    assert [model.tallies[f"w{n}"].effects for n in range(3)] == [1, 0, 0], "a repeat within the window"
+    assert [model.tallies[f"w{n}"].effects for n in range(3)] == [1, 0, 0], "duplicates have no effect"
     assert arrive(model, 5 * SECOND, "w1", "key").has_effect
     assert model.tallies["w1"].overlapped
 
@@ -69,7 +70,7 @@
     arrive(model, 0, "a")
     call = arrive(model, 0, "b")
     model.call_ended(SECOND // 2, call, "b")
-    assert model.tallies["b"].effects == 0, "left the queue before it began"
+    assert model.tallies["b"].effects == 0, "an abandoned call is not executed"
 
 
 def test_call_during_pause_starts_at_end_of_pause() -> None:
@@ -81,7 +82,8 @@
     assert arrive(model, 5 * SECOND + 100, "p").responds_after == SECOND // 5 - 100 + 1000
 
 
-# Properties of a rate limit, and how many of 40 calls, one each 50 ms, are admitted over two seconds.
+# Properties of a rate limit, and the smallest and largest number of calls that it may admit of 40 that arrive
+# every 50 ms for two seconds.
 RATE_LIMIT_CASES = [
     (DestinationProperties(rate_limit=4.0), 8, 10),
     (DestinationProperties(rate_limit=4.0, rate_window=SECOND), 8, 8),
--- a/tests/emulator/scenario/test_scenario_loading.py
+++ b/tests/emulator/scenario/test_scenario_loading.py
@@ -1,4 +1,4 @@
-"""What is said of scenarios that cannot be played."""
+"""Faults that the validation of a scenario file reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ashpath.emulator.scenario.conditions import FaultCondition, parse_condition
 from ashpath.emulator.scenario.loading import read_scenario
 
-# What is replaced in a scenario, by what, and what is said of it.
+# A text of a scenario file, its replacement, and the expected fault.
 INVALID_SCENARIOS = """
     share = 5          ~ share = -1             ~ partners.bank.share: found -1
     count = 3          ~ count = 0              ~ partners.bank.count: found 0
@@ -20,7 +20,7 @@
     at = "10s"         ~ when = "held is 3"     ~ troubles[0].when: found 'held is 3'
     to = ["bank"]      ~ to = ["banc"]          ~ troubles[0].to: found 'banc'
     to = ["bank"]      ~ to = ["bank/9"]        ~ troubles[0].to: found 'bank/9'
-    check-status = 1,  ~ check-stats = 1,       ~ clients.mix.check-stats: found a track
+    check-status = 1,  ~ check-stats = 1,       ~ clients.mix.check-stats: found an undefined track
     lasts = "50s"      ~ lasts = "5s"|played = "9s" ~ spans[0].played: found more than lasts
     window = "5s"      ~ window = "1s"          ~ tracks.check-result.window: found 1s
     senders = 3        ~ senders = 0            ~ fleet.senders: found 0
