--- a/ashpath/emulator/destination/model.py
+++ b/ashpath/emulator/destination/model.py
@@ -1,12 +1,12 @@
-"""A destination as a model, free of I/O and of any clock: what a call meets, and what effect it has.
+"""A model of a destination without I/O or clock, which determines the result and the effect of each call.
 
-Whoever plays the model says what time it is, in whole microseconds, and carries out what it says. Every draw
-comes from the `Random` that it is handed. A destination is in one of these states:
+The caller of the model passes the time in whole microseconds and carries out the results. All random numbers
+come from the `Random` that is passed to the model. A destination is in one of these states:
 
     healthy     full speed
-    outage      one of OUTAGE_FAULTS is on; each decides for itself what becomes of a call
-    slow start  after an outage: `cold_share` of its speed, rising to all of it over `ramp`
-    collapsed   pushed over by too many calls in slow start: silent for `fall_down`, then slow start again
+    outage      one of OUTAGE_FAULTS is active and determines the results of calls
+    slow start  after an outage: the speed rises from `slow_start_share` to 1 within `slow_start_time`
+    collapsed   after an overload in slow start: silent for `collapse_time`, then slow start again
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from ashpath.emulator.destination.rate_limit import DestinationRateLimit
 from ashpath.emulator.units import NEVER, SECOND
 
-ERROR_TIME = 1000  # microseconds until an error that comes before the effect
+ERROR_RESPONSE_TIME = 1000  # microseconds to the response of a call that fails before its effect
 
 
 @dataclass(eq=False, slots=True)
@@ -30,17 +30,17 @@
     """One endpoint of a destination."""
 
     workers_free_at: list[int]
-    """When each worker is free: a heap; endpoints that share workers have the same one."""
+    """The time at which each worker becomes free, as a heap. Endpoints that share workers share the heap."""
     queued_starts: deque[int] = field(default_factory=deque)
-    """When the calls that wait will start; emptied as they do."""
+    """Start times of the waiting calls; those that have started are removed when a call arrives."""
     connections: int = 0
 
 
 class DestinationModel:
-    """One destination. `keys` is emptied as deduplication windows pass.
+    """One destination. An entry of `key_expiry_times` is removed after the deduplication window.
 
-    `tallies` grows with the run, as its checks need them, unless `keeps_tallies` is off: then with the
-    calls in flight.
+    `tallies` keeps all client requests of a run for the checks at its end. If `keeps_tallies` is false, it
+    holds only requests with a call in flight.
     """
 
     def __init__(
@@ -57,14 +57,14 @@
         self.endpoints: dict[str, EndpointState] = {}
         for endpoint in endpoints:
             self.add_endpoint(endpoint)
-        self.keys: OrderedDict[str, int] = OrderedDict()  # until when each is remembered
+        self.key_expiry_times: OrderedDict[str, int] = OrderedDict()  # by idempotency key
         self.tallies: dict[str, RequestTally] = {}
         self.faults = ActiveFaults(properties.error_share, properties.error_after_effect_share)
         self.rate_limit = DestinationRateLimit(properties, self.faults, random)
-        self.recovered_at = -NEVER  # when the latest outage ended
+        self.recovered_at = -NEVER  # end of the latest outage
         self.collapsed_until = -NEVER
         self.collapses = 0
-        self._recovery_calls: deque[int] = deque()  # arrivals over the latest fall_time, in slow start
+        self._recovery_calls: deque[int] = deque()  # arrivals in slow start within overload_duration
         mean = sum(properties.service_times) / len(properties.service_times)
         self.capacity = (
             properties.workers * SECOND / mean * (1 if properties.shares_workers else len(endpoints))
@@ -72,26 +72,26 @@
         if properties.rate_limit:
             self.capacity = min(self.capacity, properties.rate_limit)
 
-    # Endpoints come and go.
+    # Endpoints.
 
     def add_endpoint(self, endpoint: str) -> None:
-        """A new endpoint, with workers of its own unless they are shared."""
+        """Adds an endpoint, with workers of its own unless the endpoints share them."""
         properties = self.properties
         workers = self._shared_workers if properties.shares_workers else [0] * properties.workers
         self.endpoints[endpoint] = EndpointState(workers)
 
     def remove_endpoint(self, endpoint: str) -> None:
-        """It refuses calls from now on."""
+        """Removes an endpoint. Further calls to it are refused."""
         self.endpoints.pop(endpoint, None)
 
     # Faults.
 
     def add_fault(self, fault: Fault, amount: float) -> None:
-        """Puts a fault on."""
+        """Activates a fault."""
         self.faults.add(fault, amount)
 
     def remove_fault(self, fault: Fault, amount: float, now: int) -> None:
-        """Takes a fault off; if the destination was in an outage and no longer is, slow start begins."""
+        """Deactivates a fault. If this ends an outage, slow start begins."""
         was_in_outage = self.in_outage()
         self.faults.remove(fault, amount)
         if was_in_outage and not self.in_outage():
@@ -99,22 +99,22 @@
             self._recovery_calls.clear()
 
     def in_outage(self) -> bool:
-        """Whether one of OUTAGE_FAULTS is on."""
-        return self.faults.any_outage
+        """Returns whether one of OUTAGE_FAULTS is active."""
+        return self.faults.has_outage
 
     def is_unresponsive(self, now: int) -> bool:
-        """Whether no call is answered now, not even one that came in before."""
+        """Returns whether no call is answered now, including calls that arrived earlier."""
         return self.faults.silent or self.faults.hung or now < self.collapsed_until
 
     def speed(self, now: int) -> float:
-        """Its present share of its full speed, as of the recovery ramp."""
-        since = now - self.recovered_at
+        """Returns the current speed as a share of the full speed; it is below 1 in slow start."""
+        time_since_recovery = now - self.recovered_at
         properties = self.properties
-        if since >= properties.slow_start_time:
+        if time_since_recovery >= properties.slow_start_time:
             return 1.0
         return (
             properties.slow_start_share
-            + (1 - properties.slow_start_share) * max(0, since) / properties.slow_start_time
+            + (1 - properties.slow_start_share) * max(0, time_since_recovery) / properties.slow_start_time
         )
 
     # Calls.
@@ -122,11 +122,16 @@
     def call_arrived(
         self, now: int, endpoint: str, request: str, traffic_class: int, key: str | None, new_connection: bool
     ) -> DestinationCall:
-        """A call has come in whole. `new_connection`: it is the first on its connection."""
+        """Returns the result of a call that has arrived completely.
+
+        `new_connection` is true for the first call on a connection.
+        """
         state = self.endpoints.get(endpoint)
         if state is None or self.faults.down:
             return DestinationCall(CallResult.REFUSED)
-        call = DestinationCall(CallResult.NO_RESPONSE, NEVER, tally=self._count(request), idempotency_key=key)
+        call = DestinationCall(
+            CallResult.NO_RESPONSE, NEVER, tally=self._count_call(request), idempotency_key=key
+        )
         in_slow_start = now < self.recovered_at + self.properties.slow_start_time
         if in_slow_start and self._causes_collapse(now):
             self.collapsed_until = now + self.properties.collapse_time
@@ -135,27 +140,27 @@
         if self.faults.silent or now < self.collapsed_until:
             return call
         if self.faults.hung:
-            self._take_effect(now, call)  # it runs as the hang ends, and nobody receives the response
+            self._record_effect(now, call)  # executed when the fault ends; no caller receives the response
             return call
         if self._rejects(now, state, call):
             return self._with_report(call)
-        draw = self.random.random() if self.faults.any_share else 1.0
+        draw = self.random.random() if self.faults.has_failure_share else 1.0
         if draw < self.faults.error_share:
             call.result = CallResult.ERROR
-            call.responds_after = ERROR_TIME
+            call.responds_after = ERROR_RESPONSE_TIME
             return self._with_report(call)
-        service_time = self._service_time(traffic_class) * self.faults.slowness
+        service_time = self._service_time(traffic_class) * self.faults.service_time_factor
         if in_slow_start:
             service_time /= self.speed(now)
         if new_connection:
             service_time += self.properties.connection_setup_time
-        self._run(now, state, call, service_time)
-        if self.faults.any_share:
-            self._fail_after_start(draw - self.faults.error_share, call)
+        self._assign_worker(now, state, call, service_time)
+        if self.faults.has_failure_share:
+            self._apply_failure_shares(draw - self.faults.error_share, call)
         return self._with_report(call)
 
     def call_ended(self, now: int, call: DestinationCall, request: str) -> None:
-        """The response is written, or the caller has gone."""
+        """Ends a call, whose response has been written or whose caller has disconnected."""
         tally = call.tally
         if tally is None:
             return
@@ -165,7 +170,7 @@
         if not self.keeps_tallies and not tally.in_flight:
             self.tallies.pop(request, None)
 
-    def _count(self, request: str) -> RequestTally:
+    def _count_call(self, request: str) -> RequestTally:
         tally = self.tallies.get(request)
         if tally is None:
             tally = self.tallies[request] = RequestTally()
@@ -175,7 +180,7 @@
         return tally
 
     def _rejects(self, now: int, state: EndpointState, call: DestinationCall) -> bool:
-        """Answers a call that is above the rate limit or finds the queue full; False: it is admitted."""
+        """Rejects a call that is above the rate limit or finds the queue full; returns whether it did."""
         rejecting = self.faults.rejecting
         if rejecting or (self.properties.rate_limit and not self.rate_limit.admit(now)):
             call.retry_after = 0 if rejecting else self.rate_limit.retry_after(now)
@@ -189,8 +194,10 @@
         call.responds_after = 0
         return True
 
-    def _run(self, now: int, state: EndpointState, call: DestinationCall, service_time: float) -> None:
-        """The worker that is free first takes the call."""
+    def _assign_worker(
+        self, now: int, state: EndpointState, call: DestinationCall, service_time: float
+    ) -> None:
+        """Assigns the call to the worker that is free first."""
         start = max(now, state.workers_free_at[0])
         if self.properties.pause_interval:
             start = self._after_pause(start)
@@ -199,21 +206,25 @@
         if start > now:
             state.queued_starts.append(start)
         call.starts_at = start
-        self._take_effect(now, call)
+        self._record_effect(now, call)
         call.result = CallResult.OK
         call.responds_after = end - now
 
-    def _fail_after_start(self, draw: float, call: DestinationCall) -> None:
-        """What becomes of a call that ran, by one draw from 0 on."""
+    def _apply_failure_shares(self, draw: float, call: DestinationCall) -> None:
+        """Applies errors, lost responses and resets to a call by one random number.
+
+        The number is relative to the share of errors before the effect. Half of the resets come before the
+        execution and undo the effect.
+        """
         faults = self.faults
         if draw < faults.error_after_share:
             call.result = CallResult.ERROR
-        elif draw < faults.error_after_share + faults.lost_share:
+        elif draw < faults.error_after_share + faults.lost_response_share:
             call.result = CallResult.NO_RESPONSE
             call.responds_after = NEVER
-        elif draw < faults.error_after_share + faults.lost_share + faults.reset_share:
+        elif draw < faults.error_after_share + faults.lost_response_share + faults.reset_share:
             call.result = CallResult.RESET
-            if draw < faults.error_after_share + faults.lost_share + faults.reset_share / 2:
+            if draw < faults.error_after_share + faults.lost_response_share + faults.reset_share / 2:
                 call.responds_after = 0
                 self._undo_effect(call)
 
@@ -222,18 +233,22 @@
         if properties.samples:
             return self.random.choice(properties.samples)
         median = properties.service_times[min(traffic_class, len(properties.service_times) - 1)]
-        took = (
+        service_time = (
             median * self.random.lognormvariate(0, properties.service_time_sigma)
             if properties.service_time_sigma
             else float(median)
         )
         in_tail = properties.tail_share and self.random.random() < properties.tail_share
-        return took * properties.tail_factor if in_tail else took
+        return service_time * properties.tail_factor if in_tail else service_time
 
     def _after_pause(self, at: int) -> int:
         properties = self.properties
-        into = at % properties.pause_interval
-        return at + properties.pause_time - into if into < properties.pause_time else at
+        time_into_interval = at % properties.pause_interval
+        return (
+            at + properties.pause_time - time_into_interval
+            if time_into_interval < properties.pause_time
+            else at
+        )
 
     def _with_report(self, call: DestinationCall) -> DestinationCall:
         report = self.rate_limit.report()
@@ -242,7 +257,7 @@
         return call
 
     def _causes_collapse(self, now: int) -> bool:
-        """A call in slow start: whether it is one too many for too long."""
+        """Returns whether a call in slow start completes an overload that makes the destination collapse."""
         properties = self.properties
         calls = self._recovery_calls
         calls.append(now)
@@ -253,23 +268,26 @@
         load = properties.overload_multiple * self.capacity * self.speed(now)
         return len(calls) > load * properties.overload_duration / SECOND
 
-    def _take_effect(self, now: int, call: DestinationCall) -> None:
-        """It runs, whether or not anybody waits for the response, unless its key is still known."""
-        keys = self.keys
-        while keys and next(iter(keys.values())) <= now:
-            keys.popitem(last=False)
+    def _record_effect(self, now: int, call: DestinationCall) -> None:
+        """Records the effect of a call, unless its idempotency key is still remembered.
+
+        The effect does not depend on whether the caller still waits for the response.
+        """
+        key_expiry_times = self.key_expiry_times
+        while key_expiry_times and next(iter(key_expiry_times.values())) <= now:
+            key_expiry_times.popitem(last=False)
         key = call.idempotency_key
-        call.has_effect = key is None or key not in keys
+        call.has_effect = key is None or key not in key_expiry_times
         if call.has_effect and call.tally is not None:
             call.tally.effects += 1
             if key is not None:
-                keys[key] = now + self.properties.deduplication_window
+                key_expiry_times[key] = now + self.properties.deduplication_window
                 call.key_is_new = True
 
     def _undo_effect(self, call: DestinationCall) -> None:
-        """It will not run after all."""
+        """Reverts the effect of a call that is not executed, and forgets the key that the call stored."""
         if call.has_effect and call.tally is not None:
             call.has_effect = False
             call.tally.effects -= 1
             if call.key_is_new and call.idempotency_key is not None:
-                self.keys.pop(call.idempotency_key, None)
+                self.key_expiry_times.pop(call.idempotency_key, None)
