--- a/ashpath/emulator/baselines/limits.py
+++ b/ashpath/emulator/baselines/limits.py
@@ -11,14 +11,14 @@
 from ashpath.emulator.policy_under_test import GlobalView
 from ashpath.emulator.units import SECOND
 
-LEAST_BACKOFF = SECOND // 10
-MOST_BACKOFF = 5 * SECOND
-MOST_DOUBLINGS = 10
+MIN_BACKOFF = SECOND // 10
+MAX_BACKOFF = 5 * SECOND
+MAX_DOUBLINGS = 10
 BREAKER_FAILURES = 5  # in a row, until the circuit breaker opens
 BREAKER_COOLDOWN = 5 * SECOND
 GRADIENT_SMOOTHING = 0.02  # of the long-run time
 GRADIENT_TOLERANCE = 1.5  # times the long-run time that is not yet slow
-LEAST_GRADIENT = 0.5
+MIN_GRADIENT = 0.5
 LIMIT_SMOOTHING = 0.2
 FAILURE_FACTOR = 0.9  # of the limit, after a failure
 
@@ -39,25 +39,25 @@
         """Always."""
         return True
 
-    def observe(self, destination: DestinationState, outcome: AttemptOutcome, took: int) -> None:
+    def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
         """A failure pauses the destination; a delivery ends the doubling."""
         if outcome is AttemptOutcome.DELIVERED:
             destination.failures = 0
             return
-        most = min(MOST_BACKOFF, LEAST_BACKOFF << min(destination.failures, MOST_DOUBLINGS))
+        max_backoff = min(MAX_BACKOFF, MIN_BACKOFF << min(destination.failures, MAX_DOUBLINGS))
         destination.failures += 1
-        backoff = int(self.random.random() * most)
+        backoff = int(self.random.random() * max_backoff)
         destination.paused_until = max(destination.paused_until, self.now + backoff)
 
 
-class BreakerAlone(Baseline):
+class BreakerOnly(Baseline):
     """A circuit breaker without a limit: after some failures in a row it opens; then one trial request."""
 
     def admits(self, destination: DestinationState) -> bool:
         """Any number while the breaker is closed, one call while it is half-open."""
         return destination.failures < BREAKER_FAILURES or destination.in_flight == 0
 
-    def observe(self, destination: DestinationState, outcome: AttemptOutcome, took: int) -> None:
+    def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
         """Counts failures in a row."""
         if outcome is AttemptOutcome.DELIVERED:
             destination.failures = 0
@@ -77,20 +77,20 @@
         """Below the limit, and always one."""
         return destination.in_flight < max(1, int(destination.limit))
 
-    def observe(self, destination: DestinationState, outcome: AttemptOutcome, took: int) -> None:
+    def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
         """Moves the limit."""
         if outcome is not AttemptOutcome.DELIVERED:
             destination.limit = max(1.0, FAILURE_FACTOR * destination.limit)
             return
         long_run = destination.long_run_time
         destination.long_run_time = (
-            took if not long_run else long_run + GRADIENT_SMOOTHING * (took - long_run)
+            duration if not long_run else long_run + GRADIENT_SMOOTHING * (duration - long_run)
         )
         if 2 * destination.in_flight < destination.limit:
             return  # the limit was not what held it
-        gradient = GRADIENT_TOLERANCE * destination.long_run_time / max(1, took)
-        gradient = max(LEAST_GRADIENT, min(1.0, gradient))
-        wanted = destination.limit * gradient + max(1.0, destination.limit**0.5)
-        most = 3 * self.settings.max_in_flight / 4
-        smoothed = (1 - LIMIT_SMOOTHING) * destination.limit + LIMIT_SMOOTHING * wanted
-        destination.limit = min(most, smoothed)
+        gradient = GRADIENT_TOLERANCE * destination.long_run_time / max(1, duration)
+        gradient = max(MIN_GRADIENT, min(1.0, gradient))
+        target_limit = destination.limit * gradient + max(1.0, destination.limit**0.5)
+        max_limit = 3 * self.settings.max_in_flight / 4
+        smoothed = (1 - LIMIT_SMOOTHING) * destination.limit + LIMIT_SMOOTHING * target_limit
+        destination.limit = min(max_limit, smoothed)
--- a/ashpath/emulator/baselines/oracle.py
+++ b/ashpath/emulator/baselines/oracle.py
@@ -13,7 +13,7 @@
 
 OUTAGE_POLL = SECOND // 10
 BUSY_POLL = SECOND // 40
-MOST_COMPARED = 30  # messages from the head of the queue
+MAX_COMPARED_MESSAGES = 30  # messages from the head of the queue
 COLLAPSE_SHARE = 0.8  # of the load that makes a destination collapse
 SLOW_START_FACTOR = 1.5  # of the workers that its speed would keep busy
 
@@ -42,21 +42,21 @@
         number = destination.number
         model = self.view.destination(number)
         if model.in_outage() or model.is_unresponsive(self.now) or self.view.is_split(self.number, number):
-            self.check_later(destination, OUTAGE_POLL)
+            self.schedule_dispatch(destination, OUTAGE_POLL)
             return False
         if not self._has_capacity(number, model):
-            self.check_later(destination, BUSY_POLL)
+            self.schedule_dispatch(destination, BUSY_POLL)
             return False
         return True
 
     def _has_capacity(self, number: int, model: DestinationModel) -> bool:
         properties = model.properties
-        mine = self.sent_in_batch.get(number, 0)
-        on_the_way = self.view.calls_on_the_way(number) + mine
+        own_calls = self.sent_in_batch.get(number, 0)
+        on_the_way = self.view.calls_on_the_way(number) + own_calls
         speed = model.speed(self.now)
         endpoints = 1 if properties.shares_workers else max(1, len(model.endpoints))
         workers = properties.workers * endpoints * min(1.0, SLOW_START_FACTOR * speed)
-        if self.view.calls_in_flight(number) + mine >= max(1.0, workers) + endpoints:
+        if self.view.calls_in_flight(number) + own_calls >= max(1.0, workers) + endpoints:
             return False
         if speed < 1:
             allowed = (
@@ -67,9 +67,9 @@
                 return False
         return model.rate_limit.available(self.now) - on_the_way >= 1
 
-    def next(self, destination: DestinationState) -> QueuedMessage:
+    def next_message(self, destination: DestinationState) -> QueuedMessage:
         """Of the first that came, the one that is worth most while it is in time."""
-        return max(islice(destination.queue, MOST_COMPARED), key=self._value)
+        return max(islice(destination.queue, MAX_COMPARED_MESSAGES), key=self._value)
 
     def _value(self, message: QueuedMessage) -> float:
         settings = self.settings.traffic_classes[message.traffic_class]
--- a/ashpath/emulator/baselines/skeleton.py
+++ b/ashpath/emulator/baselines/skeleton.py
@@ -22,14 +22,14 @@
 from ashpath.emulator.policy_under_test import NOT_RUN_OUTCOMES, GlobalView
 from ashpath.emulator.units import SECOND
 
-TIMEOUT = 4 * SECOND  # of a call
+ATTEMPT_TIMEOUT = 4 * SECOND  # of a call
 FIXED_LIMIT = 8  # calls in flight to a destination
-END_MARGIN = SECOND // 20  # so long before its deadline a message is given up
-LEAST_TIME_LEFT = SECOND // 10  # before its deadline, for another attempt
-LEAST_TIMEOUT = SECOND // 1000
-FULL_POLL = SECOND // 50  # while all calls that a sender may have are in flight
-MOST_REJECTION_WAIT = SECOND
-ANY_NUMBER = 1 << 30
+DEADLINE_MARGIN = SECOND // 20  # so long before its deadline a message is given up
+MIN_TIME_LEFT = SECOND // 10  # before its deadline, for another attempt
+MIN_ATTEMPT_TIMEOUT = SECOND // 1000
+MAX_IN_FLIGHT_POLL = SECOND // 50  # while all calls that a sender may have are in flight
+MAX_REJECTION_RETRY_AFTER = SECOND
+UNLIMITED_ATTEMPTS = 1 << 30
 UNRESOLVED_OUTCOMES = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED)
 
 DISPATCH_TIMER = "p"  # and the destination's number
@@ -38,7 +38,7 @@
 
 
 class Baseline:
-    """Sends in order of arrival as long as `admits` allows; `observe` learns how attempts end."""
+    """Sends in order of arrival as long as `admits` allows; `record_outcome` learns how attempts end."""
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions, view: GlobalView) -> None:
         self.settings = settings
@@ -59,10 +59,10 @@
         """Whether one more call may go out now."""
         return destination.in_flight < FIXED_LIMIT
 
-    def observe(self, destination: DestinationState, outcome: AttemptOutcome, took: int) -> None:
-        """What an outcome changes; `took` is microseconds."""
+    def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
+        """What an outcome changes; `duration` is microseconds."""
 
-    def next(self, destination: DestinationState) -> QueuedMessage:
+    def next_message(self, destination: DestinationState) -> QueuedMessage:
         """Which message goes next: the first that came."""
         return next(iter(destination.queue))
 
@@ -79,47 +79,55 @@
             del self.needs_dispatch[destination]
             self._dispatch(destination)
 
-    def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
+    def update_endpoints(self, records: list[EndpointRecord], complete: bool) -> None:
         """Service discovery reported these endpoints; `complete`: and there are no others."""
         if complete:
             for destination in self.destinations.values():
                 destination.endpoints = []
-        for row in rows:
-            destination = self._destination(row.destination)
-            destination.endpoints = [name for name in destination.endpoints if name != row.endpoint_id]
-            if row.status is EndpointStatus.ACTIVE:
-                destination.endpoints.append(row.endpoint_id)
+        for record in records:
+            destination = self._destination(record.destination)
+            destination.endpoints = [name for name in destination.endpoints if name != record.endpoint_id]
+            if record.status is EndpointStatus.ACTIVE:
+                destination.endpoints.append(record.endpoint_id)
             self.needs_dispatch[destination] = None
 
-    def submit(self, message_id: int, number: int, traffic_class: int, key: int | None, left: int) -> None:
-        """A message for a destination was accepted, `left` before its deadline."""
+    def submit(
+        self, message_id: int, number: int, traffic_class: int, key: int | None, time_left: int
+    ) -> None:
+        """A message for a destination was accepted, `time_left` before its deadline."""
         ordering_key = key if self.settings.traffic_classes[traffic_class].ordered else None
         message = QueuedMessage(
-            message_id, self._destination(number), traffic_class, ordering_key, self.now + left
+            message_id, self._destination(number), traffic_class, ordering_key, self.now + time_left
         )
         self.messages[message_id] = message
-        self.actions.schedule_timer(message.deadline_at - END_MARGIN, f"{DEADLINE_TIMER}{message_id}")
+        self.actions.schedule_timer(message.deadline_at - DEADLINE_MARGIN, f"{DEADLINE_TIMER}{message_id}")
         if ordering_key is not None:
             queue = self.ordered_queues.setdefault(ordering_key, deque())
             queue.append(message)
             if queue[0] is not message or self.settles_until.get(ordering_key, 0) > self.now:
                 return
-        self._queue(message)
+        self._enqueue(message)
 
     def restore_outage(self, number: int, endpoint_id: str, rate: float) -> None:
         """A baseline knows of no outage."""
 
     def restore(
-        self, id_: int, number: int, traffic_class: int, key: int | None, left: int, past: PreviousAttempts
+        self,
+        message_id: int,
+        number: int,
+        traffic_class: int,
+        key: int | None,
+        time_left: int,
+        previous: PreviousAttempts,
     ) -> None:
         """The previous incarnation had accepted this message."""
-        self.submit(id_, number, traffic_class, key, left)
-        message = self.messages[id_]
-        message.attempts = past.attempts
-        message.first_run_at = -1 if past.first_run_at is None else past.first_run_at
-        if message.ordering_key is not None and past.unresolved:
-            self._settle(message.ordering_key, dequeued=message)
-        elif not self._may_repeat(message):
+        self.submit(message_id, number, traffic_class, key, time_left)
+        message = self.messages[message_id]
+        message.attempts = previous.attempts
+        message.first_run_at = -1 if previous.first_run_at is None else previous.first_run_at
+        if message.ordering_key is not None and previous.unresolved:
+            self._start_settling(message.ordering_key, dequeued=message)
+        elif not self._may_send(message):
             self._give_up(message)
 
     def still_valid(self, message_id: int, now: int) -> bool:
@@ -132,36 +140,41 @@
         )
 
     def attempt_finished(
-        self, id_: int, outcome: AttemptOutcome, wait: int, closed: bool, report: LoadReport | None
+        self,
+        message_id: int,
+        outcome: AttemptOutcome,
+        retry_after: int,
+        final: bool,
+        report: LoadReport | None,
     ) -> None:
-        """An attempt has its outcome; `wait` is its Retry-After, 0 for none."""
-        attempt = self.attempts.pop(id_, None)
+        """An attempt has its outcome; `retry_after` is its Retry-After, 0 for none."""
+        attempt = self.attempts.pop(message_id, None)
         if attempt is None:
             return
         destination = attempt.destination
         message = attempt.message
         destination.in_flight -= 1
-        destination.retry_after_until = max(destination.retry_after_until, self.now + wait)
+        destination.retry_after_until = max(destination.retry_after_until, self.now + retry_after)
         if outcome is not AttemptOutcome.NOT_SENT:
-            self.observe(destination, outcome, self.now - attempt.began)
+            self.record_outcome(destination, outcome, self.now - attempt.began)
         self.needs_dispatch[destination] = None
         if outcome not in NOT_RUN_OUTCOMES and message.first_run_at < 0:
             message.first_run_at = attempt.began
         settles = message.ordering_key is not None and outcome in UNRESOLVED_OUTCOMES
         if message.ordering_key is not None and settles:
-            self._settle(message.ordering_key)
-        if closed or outcome is AttemptOutcome.DELIVERED:
-            self._end(message)
-        elif not self._may_repeat(message):
+            self._start_settling(message.ordering_key)
+        if final or outcome is AttemptOutcome.DELIVERED:
+            self._remove(message)
+        elif not self._may_send(message):
             self._give_up(message)
         elif not settles:
-            self._queue(message, first=True)
+            self._enqueue(message, first=True)
 
     def client_disconnected(self, message_id: int) -> None:
         """Nobody waits for this message any more."""
         message = self.messages.get(message_id)
         if message is not None and message_id not in self.attempts:
-            self._end(message)
+            self._remove(message)
 
     def timer_fired(self, token: str) -> None:
         """A timer that was scheduled here is due."""
@@ -172,7 +185,7 @@
         elif kind == DEADLINE_TIMER and number in self.messages and number not in self.attempts:
             self._give_up(self.messages[number])
         elif kind == SETTLED_TIMER:
-            self._advance(number)
+            self._enqueue_next(number)
 
     # The skeleton.
 
@@ -182,22 +195,22 @@
             found = self.destinations[number] = DestinationState(number)
         return found
 
-    def _queue(self, message: QueuedMessage, *, first: bool = False) -> None:
+    def _enqueue(self, message: QueuedMessage, *, first: bool = False) -> None:
         destination = message.destination
         destination.queue[message] = None
         destination.queue.move_to_end(message, last=not first)
         self.needs_dispatch[destination] = None
 
-    def _settle(self, ordering_key: int, dequeued: QueuedMessage | None = None) -> None:
+    def _start_settling(self, ordering_key: int, dequeued: QueuedMessage | None = None) -> None:
         """The key's next message waits until the call that may still run has ended."""
         self.settles_until[ordering_key] = self.now + self.settings.settle_time
         if dequeued is not None:
             dequeued.destination.queue.pop(dequeued, None)
         self.actions.schedule_timer(self.settles_until[ordering_key], f"{SETTLED_TIMER}{ordering_key}")
 
-    def _may_repeat(self, message: QueuedMessage) -> bool:
-        most = self.settings.max_attempts or ANY_NUMBER
-        if message.deadline_at - self.now < LEAST_TIME_LEFT or message.attempts >= most:
+    def _may_send(self, message: QueuedMessage) -> bool:
+        max_attempts = self.settings.max_attempts or UNLIMITED_ATTEMPTS
+        if message.deadline_at - self.now < MIN_TIME_LEFT or message.attempts >= max_attempts:
             return False
         settings = self.settings.traffic_classes[message.traffic_class]
         if message.first_run_at < 0 or settings.retry_safety is RetrySafety.IDEMPOTENT:
@@ -209,7 +222,7 @@
     def _dispatch(self, destination: DestinationState) -> None:
         while destination.queue and destination.endpoints:
             if len(self.attempts) >= self.settings.max_in_flight:
-                self.check_later(destination, FULL_POLL)
+                self.schedule_dispatch(destination, MAX_IN_FLIGHT_POLL)
                 return
             paused_until = max(destination.retry_after_until, destination.paused_until)
             if paused_until > self.now:
@@ -217,18 +230,18 @@
                 return
             if not self.admits(destination):
                 return
-            message = self.next(destination)
+            message = self.next_message(destination)
             del destination.queue[message]
-            if not self._may_repeat(message):
+            if not self._may_send(message):
                 self._give_up(message)
                 continue
             self.send(destination, message)
 
-    def check_later(self, destination: DestinationState, wait: int) -> None:
+    def schedule_dispatch(self, destination: DestinationState, delay: int) -> None:
         """Dispatches again after this many microseconds; one check ahead is enough."""
-        if destination.next_check <= self.now:
-            destination.next_check = self.now + wait
-            self.actions.schedule_timer(destination.next_check, f"{DISPATCH_TIMER}{destination.number}")
+        if destination.next_dispatch_at <= self.now:
+            destination.next_dispatch_at = self.now + delay
+            self.actions.schedule_timer(destination.next_dispatch_at, f"{DISPATCH_TIMER}{destination.number}")
 
     def send(self, destination: DestinationState, message: QueuedMessage) -> None:
         """Starts an attempt, at each endpoint in turn."""
@@ -237,25 +250,27 @@
         destination.in_flight += 1
         message.attempts += 1
         self.attempts[message.id] = Attempt(destination, message, endpoint, self.now)
-        timeout = max(LEAST_TIMEOUT, min(TIMEOUT, message.deadline_at - self.now - END_MARGIN))
+        timeout = max(
+            MIN_ATTEMPT_TIMEOUT, min(ATTEMPT_TIMEOUT, message.deadline_at - self.now - DEADLINE_MARGIN)
+        )
         self.actions.start_attempt(message.id, endpoint, timeout)
 
     def _give_up(self, message: QueuedMessage) -> None:
         retry_safety = self.settings.traffic_classes[message.traffic_class].retry_safety
-        self._end(message)
+        self._remove(message)
         if message.first_run_at < 0 or retry_safety is RetrySafety.IDEMPOTENT:
-            self.actions.reject(message.id, min(self.settings.max_retry_after, MOST_REJECTION_WAIT))
+            self.actions.reject(message.id, min(self.settings.max_retry_after, MAX_REJECTION_RETRY_AFTER))
         else:
             self.actions.fail(message.id)
 
-    def _end(self, message: QueuedMessage) -> None:
+    def _remove(self, message: QueuedMessage) -> None:
         del self.messages[message.id]
         message.destination.queue.pop(message, None)
         if message.ordering_key is not None:
             self.ordered_queues[message.ordering_key].remove(message)
-            self._advance(message.ordering_key)
+            self._enqueue_next(message.ordering_key)
 
-    def _advance(self, ordering_key: int) -> None:
+    def _enqueue_next(self, ordering_key: int) -> None:
         """The key's next message may go, if there is one and the key has settled."""
         queue = self.ordered_queues.get(ordering_key)
         settled = self.settles_until.get(ordering_key, 0) <= self.now
@@ -264,4 +279,4 @@
         if settled:
             self.settles_until.pop(ordering_key, None)
         if queue and settled and queue[0].id not in self.attempts:
-            self._queue(queue[0])
+            self._enqueue(queue[0])
--- a/ashpath/emulator/baselines/state.py
+++ b/ashpath/emulator/baselines/state.py
@@ -63,4 +63,4 @@
         self.failures = 0  # in a row
         self.limit = 1.0
         self.long_run_time = 0.0  # microseconds of a call, over the long run
-        self.next_check = 0
+        self.next_dispatch_at = 0
--- a/ashpath/emulator/policies.py
+++ b/ashpath/emulator/policies.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ashpath.core.interface import PolicyActions, PolicySettings
-from ashpath.emulator.baselines.limits import Backoff, BreakerAlone, FixedLimit, Gradient
+from ashpath.emulator.baselines.limits import Backoff, BreakerOnly, FixedLimit, Gradient
 from ashpath.emulator.baselines.oracle import Oracle
 from ashpath.emulator.policy_under_test import GlobalView, PolicyFactory, PolicyUnderTest
 from ashpath.policy.delivery_policy import DeliveryPolicy
@@ -20,7 +20,7 @@
     DELIVERY_POLICY: delivery_policy,
     "fixed": FixedLimit,
     "retries": Backoff,
-    "breaker": BreakerAlone,
+    "breaker": BreakerOnly,
     "gradient": Gradient,
     "oracle": Oracle,
 }
--- a/ashpath/emulator/policy_under_test.py
+++ b/ashpath/emulator/policy_under_test.py
@@ -42,14 +42,22 @@
     def end_batch(self) -> None:
         """Closes the batch: the policy decides now."""
 
-    def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
+    def update_endpoints(self, records: list[EndpointRecord], complete: bool) -> None:
         """Service discovery reported these endpoints; `complete`: and there are no others."""
 
-    def submit(self, message_id: int, number: int, traffic_class: int, key: int | None, left: int) -> None:
-        """A message for a destination was accepted, `left` before its deadline."""
+    def submit(
+        self, message_id: int, number: int, traffic_class: int, key: int | None, time_left: int
+    ) -> None:
+        """A message for a destination was accepted, `time_left` before its deadline."""
 
     def restore(
-        self, id_: int, number: int, traffic_class: int, key: int | None, left: int, past: PreviousAttempts
+        self,
+        message_id: int,
+        number: int,
+        traffic_class: int,
+        key: int | None,
+        time_left: int,
+        previous: PreviousAttempts,
     ) -> None:
         """The previous incarnation had accepted this message."""
 
@@ -60,9 +68,14 @@
         """Whether an attempt may still be sent, now that its connection is open."""
 
     def attempt_finished(
-        self, id_: int, outcome: AttemptOutcome, wait: int, closed: bool, report: LoadReport | None
+        self,
+        message_id: int,
+        outcome: AttemptOutcome,
+        retry_after: int,
+        final: bool,
+        report: LoadReport | None,
     ) -> None:
-        """An attempt has its outcome; `wait` is its Retry-After, 0 for none."""
+        """An attempt has its outcome; `retry_after` is its Retry-After, 0 for none."""
 
     def client_disconnected(self, message_id: int) -> None:
         """Nobody waits for this message any more."""
