--- a/ashpath/cli/simulation_report.py
+++ b/ashpath/cli/simulation_report.py
@@ -34,20 +34,20 @@
 def print_violations(results: ScenarioResults) -> None:
     """Prints the rules that were broken, and the events that led to each violation."""
     for run in results.runs:
-        for violation in run.broken[:MAX_VIOLATIONS]:
+        for violation in run.violations[:MAX_VIOLATIONS]:
             print(
                 f"{run.policy}, seed {run.seed}, {violation.at / 1e6:.3f}s: "
                 f"{violation.rule}: {violation.what} {violation.message_id}"
             )
-            for time_us, event in violation.story:
+            for time_us, event in violation.events:
                 print(f"    {format_time(time_us)} {event}")
 
 
 def print_history(run: Run, trace_id: str) -> None:
     """Prints the events of one message."""
-    for time_us, event in run.stories:
+    for time_us, event in run.watched_events:
         print(f"{format_time(time_us)} {event}")
-    if not run.stories:
+    if not run.watched_events:
         print(f"no message {trace_id!r} was accepted in seed {run.seed}")
 
 
--- a/ashpath/emulator/invariant_checker.py
+++ b/ashpath/emulator/invariant_checker.py
@@ -18,12 +18,14 @@
 from collections import Counter
 
 from ashpath.core.interface import RetrySafety, TrafficClassSettings
-from ashpath.emulator.invariant_records import BrokenRule, OrderedQueue, StoryLine, WatchedMessage
+from ashpath.emulator.invariant_records import MessageEvent, OrderedQueue, RuleViolation, WatchedMessage
 
 LATE_TOLERANCE = 50_000  # a final answer so long after the deadline is in time: clocks of onlookers differ
 START_TOLERANCE = 1_500_000  # after a start: what fell due meanwhile has its end by then
-BLAME_SHARE = 2 / 3  # of the load that senders which knew must have sent, for a collapse to be theirs
-MOST_BROKEN = 100  # broken rules whose stories are kept; the rest is counted
+RESPONSIBLE_LOAD_SHARE = (
+    2 / 3
+)  # of the load that senders which knew must have sent, for a collapse to be theirs
+MAX_VIOLATIONS = 100  # broken rules whose stories are kept; the rest is counted
 # Outcomes of attempts, by their names:
 NOT_RUN = frozenset({"full", "no connection", "unsent"})  # these prove that a call has not run
 UNRESOLVED = frozenset({"timed out", "reset", "withdrawn"})  # after these a key settles
@@ -35,14 +37,14 @@
 class InvariantChecker:
     """`_messages` is emptied as messages are over, `_queues` with them.
 
-    `_removed`, `_retry_after` and `_knew` have an entry for each endpoint or destination that a sender was
-    notified of, and go with the run.
+    `_removed`, `_retry_after` and `_informed_senders` have an entry for each endpoint or destination that a
+    sender was notified of, and go with the run.
     """
 
     def __init__(self, grace: int, settle_time: int, watched: str = "", retry_after_slack: int = 0) -> None:
-        self.broken: list[BrokenRule] = []
+        self.violations: list[RuleViolation] = []
         self.counts: Counter[str] = Counter()
-        self.stories: list[StoryLine] = []  # of the message that is watched
+        self.watched_events: list[MessageEvent] = []  # of the message that is watched
         self.outages: dict[int, int] = {}  # destinations that are down or in slow start: since when
         self._grace = grace
         self._settle_time = settle_time
@@ -58,19 +60,21 @@
         self._retry_after: dict[
             tuple[int, str], tuple[int, int]
         ] = {}  # from and until when, by sender and route
-        self._knew: dict[int, set[int]] = {}  # senders that saw a call fail there since the outage began
+        self._informed_senders: dict[
+            int, set[int]
+        ] = {}  # senders that saw a call fail there since the outage began
         self._now = 0
 
-    def _break(self, rule: str, at: int, what: str, message: WatchedMessage | None = None) -> None:
+    def _report_violation(self, rule: str, at: int, what: str, message: WatchedMessage | None = None) -> None:
         self.counts[rule] += 1
-        if len(self.broken) < MOST_BROKEN:
-            story = tuple(message.story) if message else ()
-            self.broken.append(BrokenRule(rule, at, what, message.id if message else "", story))
+        if len(self.violations) < MAX_VIOLATIONS:
+            events = tuple(message.events) if message else ()
+            self.violations.append(RuleViolation(rule, at, what, message.id if message else "", events))
 
     def _record(self, message: WatchedMessage, at: int, what: str) -> None:
-        message.story.append(StoryLine(at, what))
+        message.events.append(MessageEvent(at, what))
         if message.id == self._watched:
-            self.stories.append(StoryLine(at, f"sender {message.sender}: {what}"))
+            self.watched_events.append(MessageEvent(at, f"sender {message.sender}: {what}"))
 
     # Messages.
 
@@ -110,17 +114,23 @@
         self._now = at
         message = self._messages.get((sender, number))
         if message is None:
-            self._break("lost", at, f"sender {sender} answers {answer} for what is over")
+            self._report_violation("lost", at, f"sender {sender} answers {answer} for what is over")
             return
         self._record(message, at, answer)
         if message.final_answer:
-            self._break("lost", at, f"a second final answer, {answer}, after {message.final_answer}", message)
+            self._report_violation(
+                "lost", at, f"a second final answer, {answer}, after {message.final_answer}", message
+            )
         elif at > message.deadline_at + LATE_TOLERANCE:
-            self._break("lost", at, f"{answer} {at - message.deadline_at} us after its cut-off", message)
+            self._report_violation(
+                "lost", at, f"{answer} {at - message.deadline_at} us after its cut-off", message
+            )
         may_have_run = message.first_run_at is not None or message.in_flight
         at_most_once = message.settings.retry_safety is RetrySafety.AT_MOST_ONCE
         if answer == REJECTED and may_have_run and at_most_once:
-            self._break("doubled", at, "a once-only envelope that may have run is bounced", message)
+            self._report_violation(
+                "doubled", at, "a once-only envelope that may have run is bounced", message
+            )
         message.final_answer = message.final_answer or answer
         self._release(message)
 
@@ -150,42 +160,52 @@
         """The first byte of a call goes out."""
         message = self._messages.get((sender, number))
         if message is None:
-            self._break("lost", at, f"sender {sender} sends what is over, to {endpoint}")
+            self._report_violation("lost", at, f"sender {sender} sends what is over, to {endpoint}")
             return
         self._record(message, at, f"shot to {endpoint}")
         if message.final_answer:
-            self._break("lost", at, f"sent after its final answer, {message.final_answer}", message)
+            self._report_violation(
+                "lost", at, f"sent after its final answer, {message.final_answer}", message
+            )
         self._check_doubled(at, message)
         removed = self._removed.get((sender, endpoint))
         if removed is not None and at > removed + self._grace:
             late = at - removed
-            self._break("drain", at, f"to {endpoint}, {late} us after it was told off the list", message)
+            self._report_violation(
+                "drain", at, f"to {endpoint}, {late} us after it was told off the list", message
+            )
         since, until = self._retry_after.get((sender, route), (0, 0))
         if since <= at < until:
-            self._break("wait", at, f"to {route}, {until - at} us before its wait is over", message)
+            self._report_violation(
+                "wait", at, f"to {route}, {until - at} us before its wait is over", message
+            )
         if message.settings.ordered and message.ordering_key is not None:
             self._check_order(at, message, self._queues[sender, message.ordering_key])
         message.in_flight += 1
 
     def _check_doubled(self, at: int, message: WatchedMessage) -> None:
         if message.in_flight:
-            self._break("doubled", at, "a second shot beside one that is out", message)
+            self._report_violation("doubled", at, "a second shot beside one that is out", message)
         if message.first_run_at is None:
             return
         settings = message.settings
         since = at - message.first_run_at
         if settings.retry_safety is RetrySafety.AT_MOST_ONCE:
-            self._break("doubled", at, "a once-only envelope that may have run is sent again", message)
+            self._report_violation(
+                "doubled", at, "a once-only envelope that may have run is sent again", message
+            )
         elif settings.retry_safety is RetrySafety.DEDUPLICATED and since > settings.deduplication_window:
             what = f"a tagged envelope is sent again {since} us after it may have run"
-            self._break("doubled", at, what, message)
+            self._report_violation("doubled", at, what, message)
 
     def _check_order(self, at: int, message: WatchedMessage, queue: OrderedQueue) -> None:
         if queue.waiting and queue.waiting[0] is not message:
             what = f"before {queue.waiting[0].id} of its key, which is not done"
-            self._break("order", at, what, message)
-        elif at < queue.settles_until and queue.settles_for is not message:
-            self._break("order", at, f"{queue.settles_until - at} us before its key has rested", message)
+            self._report_violation("order", at, what, message)
+        elif at < queue.settles_until and queue.settling_message is not message:
+            self._report_violation(
+                "order", at, f"{queue.settles_until - at} us before its key has rested", message
+            )
 
     def attempt_finished(self, at: int, sender: int, number: int, outcome: str, began: int) -> None:
         """An attempt that began then has its outcome, as its sender saw it."""
@@ -200,9 +220,9 @@
         if message.ordering_key is not None and message.settings.ordered and outcome in UNRESOLVED:
             queue = self._queues[sender, message.ordering_key]
             queue.settles_until = at + self._settle_time
-            queue.settles_for = message
+            queue.settling_message = message
         if outcome in FAILED and message.destination in self.outages:
-            self._knew.setdefault(message.destination, set()).add(sender)
+            self._informed_senders.setdefault(message.destination, set()).add(sender)
         if outcome == DELIVERED and not message.final_answer:
             message.final_answer = DELIVERED
         self._release(message)
@@ -233,31 +253,33 @@
     def outage_began(self, at: int, destination: int) -> None:
         """Until the destination has recovered, who calls may know of the outage."""
         self.outages[destination] = at
-        self._knew[destination] = set()
+        self._informed_senders[destination] = set()
 
     def recovered(self, destination: int) -> None:
         """It is as it was before its outage."""
         self.outages.pop(destination, None)
-        self._knew.pop(destination, None)
+        self._informed_senders.pop(destination, None)
 
     def collapsed(self, at: int, destination: int, load: Counter[int]) -> None:
         """It was pushed over in slow start, by so many calls of each of these senders."""
-        knew = self._knew.get(destination, set())
-        theirs = sum(count for sender, count in load.items() if sender in knew)
-        whole = sum(load.values())
-        if theirs >= BLAME_SHARE * whole:
-            what = f"destination {destination} fell: {theirs} of {whole} calls from who knew"
-            self._break("returning", at, what)
+        informed = self._informed_senders.get(destination, set())
+        informed_calls = sum(count for sender, count in load.items() if sender in informed)
+        total_calls = sum(load.values())
+        if informed_calls >= RESPONSIBLE_LOAD_SHARE * total_calls:
+            what = f"destination {destination} fell: {informed_calls} of {total_calls} calls from who knew"
+            self._report_violation("returning", at, what)
 
     def effects_counted(self, at: int, request: str, effects: int, retry_safety: RetrySafety) -> None:
         """How often one request ran in the end, over all messages that carried it."""
         if effects > 1 and retry_safety is not RetrySafety.IDEMPOTENT:
             self.counts["doubled"] += 1
-            if len(self.broken) < MOST_BROKEN:
-                self.broken.append(BrokenRule("doubled", at, f"{request} ran {effects} times", request, ()))
+            if len(self.violations) < MAX_VIOLATIONS:
+                self.violations.append(
+                    RuleViolation("doubled", at, f"{request} ran {effects} times", request, ())
+                )
 
     def run_ended(self, at: int) -> None:
         """Everything has had its time: what has no end is lost."""
         for message in self._messages.values():
             if not message.final_answer and at > message.deadline_at + LATE_TOLERANCE:
-                self._break("lost", at, "no final answer", message)
+                self._report_violation("lost", at, "no final answer", message)
--- a/ashpath/emulator/invariant_records.py
+++ b/ashpath/emulator/invariant_records.py
@@ -9,7 +9,7 @@
 from ashpath.core.interface import TrafficClassSettings
 
 
-class StoryLine(NamedTuple):
+class MessageEvent(NamedTuple):
     """One thing that was seen of a message."""
 
     at: int
@@ -17,14 +17,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenRule:
+class RuleViolation:
     """One broken rule, and the story of the message that it was broken for, as far as there is one."""
 
     rule: str
     at: int
     what: str
     message_id: str
-    story: tuple[StoryLine, ...]
+    events: tuple[MessageEvent, ...]
 
 
 @dataclass(eq=False, slots=True)
@@ -43,7 +43,7 @@
     first_run_at: int | None = None
     """When the first attempt that may have run went out."""
     final_answer: str = ""
-    story: list[StoryLine] = field(default_factory=list)
+    events: list[MessageEvent] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
@@ -52,5 +52,5 @@
 
     waiting: deque[WatchedMessage] = field(default_factory=deque)
     settles_until: int = 0
-    settles_for: WatchedMessage | None = None
+    settling_message: WatchedMessage | None = None
     """Its call may run on: it alone may be sent again meanwhile."""
--- a/ashpath/emulator/runs.py
+++ b/ashpath/emulator/runs.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ashpath.core.json_types import JsonObject
-from ashpath.emulator.invariant_records import BrokenRule, StoryLine
+from ashpath.emulator.invariant_records import MessageEvent, RuleViolation
 from ashpath.emulator.policies import POLICIES
 from ashpath.emulator.scenario.loading import read_scenario
 from ashpath.emulator.scenario.schema import Scenario
@@ -32,14 +32,15 @@
     seed: int
     policy: str
     result: JsonObject
-    broken: list[BrokenRule]
-    stories: list[StoryLine]
+    violations: list[RuleViolation]
+    watched_events: list[MessageEvent]
     mode_changes: list[ModeChange]
 
     def row(self) -> JsonObject:
         """As outcome files have it."""
         broken = [
-            {"rule": one.rule, "at": one.at, "what": one.what, "id": one.message_id} for one in self.broken
+            {"rule": one.rule, "at": one.at, "what": one.what, "id": one.message_id}
+            for one in self.violations
         ]
         return {"seed": self.seed, "policy": self.policy, **self.result, "broken": broken}
 
@@ -60,7 +61,9 @@
     simulation = Simulation(scenario, path.parent, seed, POLICIES[policy], scoreboard, watched)
     simulation.run(progress)
     checker = simulation.checker
-    return Run(seed, policy, scoreboard.result(), checker.broken, checker.stories, scoreboard.mode_changes)
+    return Run(
+        seed, policy, scoreboard.result(), checker.violations, checker.watched_events, scoreboard.mode_changes
+    )
 
 
 def run_on_loopback(
@@ -77,7 +80,7 @@
     run = LoopbackRun(scenario, path.parent, folder, seed, scoreboard, watched)
     run.run(progress)
     checker = run.checker
-    return Run(seed, POLICY_ON_LOOPBACK, scoreboard.result(), checker.broken, checker.stories, [])
+    return Run(seed, POLICY_ON_LOOPBACK, scoreboard.result(), checker.violations, checker.watched_events, [])
 
 
 def simulate_all(path: Path, seeds: list[int], policies: list[str], jobs: int) -> Iterator[Run]:
--- a/tests/emulator/loopback/test_loopback_run.py
+++ b/tests/emulator/loopback/test_loopback_run.py
@@ -31,8 +31,8 @@
     path = tmp_path / "day.toml"
     path.write_text(text)
     ours, simulated = run_on_loopback(path, 1, tmp_path), simulate(path, 1, "module")
-    assert not ours.result["rules"], ours.broken
-    assert not simulated.result["rules"], simulated.broken
+    assert not ours.result["rules"], ours.violations
+    assert not simulated.result["rules"], simulated.violations
     assert ours.result["handed_in"] == simulated.result["handed_in"]
     assert sum(ours.result["ends"].values()) == ours.result["handed_in"]
     assert abs(ours.result["g"] - simulated.result["g"]) <= tolerance, (
--- a/tests/emulator/loopback/test_replay.py
+++ b/tests/emulator/loopback/test_replay.py
@@ -62,4 +62,4 @@
     checker = checker_for_sockets(settings, "")
     scoreboard = Scoreboard(list(scenario.traffic_classes))
     Replay(settings, value, topology, {id_: request}, scoreboard, checker).run(log.sorted_by_time(), 0)
-    assert checker.counts["lost"] == int(lost), checker.broken
+    assert checker.counts["lost"] == int(lost), checker.violations
--- a/tests/emulator/simulation/test_simulation_run.py
+++ b/tests/emulator/simulation/test_simulation_run.py
@@ -23,7 +23,7 @@
 from ashpath.emulator.simulation.run import Simulation
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
-CRIPPLED = [
+DEFECTIVE_POLICIES = [
     (ForgetfulPolicy, "large-silent", "lost"),
     (RepeatingPolicy, "errors-behind", "doubled"),
     (LingeringPolicy, "replaced", "drain"),
@@ -45,15 +45,15 @@
     return simulation
 
 
-@pytest.mark.parametrize(("policy", "name", "rule"), CRIPPLED)
-def test_checker_sees_each_rule_broken(policy: type[DeliveryPolicy], name: str, rule: str) -> None:
+@pytest.mark.parametrize(("policy", "name", "rule"), DEFECTIVE_POLICIES)
+def test_checker_detects_each_broken_rule(policy: type[DeliveryPolicy], name: str, rule: str) -> None:
     checker = run(name, policy).checker
     assert checker.counts[rule], checker.counts
-    assert any(one.rule == rule for one in checker.broken)
+    assert any(one.rule == rule for one in checker.violations)
     if rule not in ("returning", "lost"):
-        assert next(one for one in checker.broken if one.rule == rule).story
+        assert next(one for one in checker.violations if one.rule == rule).events
 
 
-def test_policy_that_stands_still_ends_the_run() -> None:
+def test_policy_that_repeats_timers_at_once_stops_simulation() -> None:
     with pytest.raises(SimulationStalledError):
         run("calm", RestlessPolicy)
--- a/tests/emulator/test_invariant_checker.py
+++ b/tests/emulator/test_invariant_checker.py
@@ -19,7 +19,7 @@
 )
 # What is seen of one sender, and the rules that are broken by it: T accepted, S attempt sent, E its outcome,
 # F final answer, W Retry-After received, O endpoint removed; times in milliseconds; `o` first: at most once.
-SEEN = """
+OBSERVATIONS = """
     T0 S1 E9:completed                               ~
     T0 S1 E9:error F10:bounced                       ~
     T0 S1 E9:full S10 E20:completed                  ~
@@ -40,7 +40,7 @@
 """
 
 
-def checker_that_saw(words: list[str]) -> InvariantChecker:
+def checker_after(words: list[str]) -> InvariantChecker:
     checker = InvariantChecker(SECOND, SECOND // 5)
     settings = AT_MOST_ONCE if words[0] == "o" else DEDUPLICATED
     began = 0
@@ -67,28 +67,28 @@
     return checker
 
 
-@pytest.mark.parametrize("row", [row.strip() for row in SEEN.strip().splitlines()])
-def test_rules_broken_by_one_sender(row: str) -> None:
+@pytest.mark.parametrize("row", [row.strip() for row in OBSERVATIONS.strip().splitlines()])
+def test_checker_reports_rules_broken_by_one_sender(row: str) -> None:
     words, _, broken = (part.strip() for part in row.partition("~"))
-    seen = " ".join(sorted(checker_that_saw(words.split()).counts))
+    seen = " ".join(sorted(checker_after(words.split()).counts))
     assert seen == broken or (broken == "doubled" and "doubled" in seen), (row, seen)
 
 
-def checker_of_two_messages() -> InvariantChecker:
+def checker_with_two_messages() -> InvariantChecker:
     checker = InvariantChecker(SECOND, SECOND // 5)
     for number in (1, 2):
         checker.accepted(0, 0, number, f"e{number}", 7, DEDUPLICATED, 3, 20 * SECOND)
     return checker
 
 
-def test_order_broken_by_the_second_before_the_first() -> None:
-    checker = checker_of_two_messages()
+def test_second_message_sent_before_first_breaks_order() -> None:
+    checker = checker_with_two_messages()
     checker.attempt_sent(1, 0, 2, "e", "7")
     assert checker.counts == Counter(order=1)
 
 
-def checker_of_a_settling_key() -> InvariantChecker:
-    checker = checker_of_two_messages()
+def checker_with_settling_key() -> InvariantChecker:
+    checker = checker_with_two_messages()
     checker.attempt_sent(1, 0, 1, "e", "7")
     checker.attempt_finished(1000, 0, 1, "reset", 1)
     checker.attempt_sent(2000, 0, 1, "e", "7")
@@ -99,12 +99,12 @@
     return checker
 
 
-def test_order_broken_by_the_next_message_while_a_key_settles() -> None:
-    assert checker_of_a_settling_key().counts == Counter(order=1)
+def test_next_message_sent_while_key_settles_breaks_order() -> None:
+    assert checker_with_settling_key().counts == Counter(order=1)
 
 
-def test_collapse_is_blamed_on_senders_that_knew() -> None:
-    checker = checker_of_a_settling_key()
+def test_collapse_is_attributed_to_senders_that_saw_failures() -> None:
+    checker = checker_with_settling_key()
     checker.outage_began(0, 7)
     checker.attempt_finished(200_000, 0, 2, "timed out", 100_000)
     checker.collapsed(300_000, 7, Counter({0: 1, 1: 1}))
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -19,7 +19,7 @@
 )
 from ashpath.emulator.scenario.loading import read_scenario
 
-SHORT = [
+SHORT_SCENARIOS = [
     "calm",
     "burst",
     "silent-bank",
@@ -35,8 +35,8 @@
 ]
 
 
-@pytest.mark.parametrize("name", SHORT)
-def test_delivery_policy_keeps_the_rules(name: str) -> None:
+@pytest.mark.parametrize("name", SHORT_SCENARIOS)
+def test_delivery_policy_keeps_rules_and_scores_near_oracle(name: str) -> None:
     """No rule broken, every request has its end, and the score is not far below the oracle's."""
     ours, best = (simulate(scenario_path(name), 2, policy).result for policy in ("module", "oracle"))
     assert not ours["rules"]
@@ -44,7 +44,7 @@
     assert ours["g"] >= best["g"] - 0.06, (ours["g"], best["g"])
 
 
-def test_scenarios_of_the_library(capsys: pytest.CaptureFixture[str]) -> None:
+def test_scenarios_in_library_are_valid(capsys: pytest.CaptureFixture[str]) -> None:
     found = sorted(SCENARIO_LIBRARY.glob("*.toml"))
     wide = [
         path
@@ -77,7 +77,7 @@
     assert rows[0]["rules_broken"] == 0
 
 
-def test_command(tmp_path: Path) -> None:
+def test_simulate_command_reports_results_and_input_errors(tmp_path: Path) -> None:
     alone = Alone(tmp_path)
     try:
         file = tmp_path / "out.json"
