--- a/ashpath/emulator/arrivals.py
+++ b/ashpath/emulator/arrivals.py
@@ -31,12 +31,12 @@
 class Arrivals:
     """Draws arrivals, with a source of chance of its own."""
 
-    def __init__(self, scenario: Scenario, shares: list[float], seed: int) -> None:
+    def __init__(self, scenario: Scenario, cumulative_shares: list[float], seed: int) -> None:
         self.end = simulated_length(scenario)
         """Microseconds; nothing arrives from then on."""
-        self.factor = 1.0
+        self.rate_factor = 1.0
         """Of the traffic; changed by faults."""
-        self._shares = shares
+        self._cumulative_shares = cumulative_shares
         self._random = Random(f"{seed} clients")
         self._clump_size = scenario.clients.clump_size
         self._ordering_keys = scenario.clients.ordering_keys
@@ -48,7 +48,7 @@
             begins = ends
         names = list(scenario.traffic_classes)
         self._traffic_classes = [names.index(name) for name in scenario.clients.traffic_class_shares]
-        self._mix = list(accumulate(scenario.clients.traffic_class_shares.values()))
+        self._cumulative_class_shares = list(accumulate(scenario.clients.traffic_class_shares.values()))
 
     def span(self, now: int) -> int:
         """The index of the present span."""
@@ -57,8 +57,8 @@
     def rate(self, now: int) -> float:
         """Requests a second."""
         begins, ends, span = self._spans[self.span(now)]
-        to = span.rate if span.end_rate < 0 else span.end_rate
-        return (span.rate + (to - span.rate) * (now - begins) / (ends - begins)) * self.factor
+        end_rate = span.rate if span.end_rate < 0 else span.end_rate
+        return (span.rate + (end_rate - span.rate) * (now - begins) / (ends - begins)) * self.rate_factor
 
     def gap(self, now: int) -> int | None:
         """Microseconds to the next clump; None: nothing comes just now."""
@@ -70,10 +70,12 @@
     def clump(self) -> list[Arrival]:
         """The requests that come at once, for one destination."""
         random = self._random
-        destination = bisect(self._shares, random.random() * self._shares[-1])
+        destination = bisect(self._cumulative_shares, random.random() * self._cumulative_shares[-1])
         return [
             Arrival(
-                self._traffic_classes[bisect(self._mix, random.random() * self._mix[-1])],
+                self._traffic_classes[
+                    bisect(self._cumulative_class_shares, random.random() * self._cumulative_class_shares[-1])
+                ],
                 destination,
                 random.randrange(self._ordering_keys) if self._ordering_keys else None,
             )
--- a/ashpath/emulator/loopback/clients_runner.py
+++ b/ashpath/emulator/loopback/clients_runner.py
@@ -29,7 +29,7 @@
     names = list(scenario.traffic_classes)
     now = 0
     while now < arrivals.end:
-        arrivals.factor = _traffic_factor(scenario.faults, now, arrivals.end)
+        arrivals.rate_factor = _traffic_factor(scenario.faults, now, arrivals.end)
         gap = arrivals.gap(now)
         for arrival in arrivals.clump() if gap is not None else ():
             id_ = f"{arrival.traffic_class}-{len(planned) + 1}"
--- a/ashpath/emulator/loopback/run.py
+++ b/ashpath/emulator/loopback/run.py
@@ -95,7 +95,7 @@
 
     def run(self, progress: Callable[[float], None] | None = None) -> None:
         """Executes the run, and replays its observations. Raises FleetStartError."""
-        arrivals = Arrivals(self._scenario, self._topology.shares, self._seed)
+        arrivals = Arrivals(self._scenario, self._topology.cumulative_shares, self._seed)
         deadlines = [traffic_class.deadline for traffic_class in self._settings.traffic_classes]
         try:
             self._senders.start_all()
--- a/ashpath/emulator/simulation/calls.py
+++ b/ashpath/emulator/simulation/calls.py
@@ -56,7 +56,17 @@
 class InFlightCall:
     """The call of one attempt, from its start to its outcome. Times are microseconds."""
 
-    __slots__ = ("arrived", "began", "due", "endpoint", "finished", "message", "received", "sender", "sent")
+    __slots__ = (
+        "arrived",
+        "began",
+        "endpoint",
+        "finished",
+        "message",
+        "received",
+        "sender",
+        "sent",
+        "times_out_at",
+    )
 
     def __init__(
         self, sender: CallOwner, message: StoredMessage, endpoint: str, began: int, timeout: int
@@ -65,7 +75,7 @@
         self.message = message
         self.endpoint = endpoint
         self.began = began
-        self.due = began + timeout
+        self.times_out_at = began + timeout
         self.received: DestinationCall | None = None  # the destination's view of it
         self.sent = False  # its first byte went out
         self.arrived = False  # its last byte is at the destination, or on its way to nowhere
--- a/ashpath/emulator/simulation/clients.py
+++ b/ashpath/emulator/simulation/clients.py
@@ -15,8 +15,8 @@
 from ashpath.emulator.simulation.fleet import Fleet
 from ashpath.emulator.units import SECOND
 
-RETRY_AFTER_DEAD_SENDER = SECOND // 10
-QUIET_SPAN_POLL = SECOND // 10  # while nothing arrives, the span is looked at this often
+DEAD_SENDER_RETRY_DELAY = SECOND // 10
+IDLE_SPAN_POLL = SECOND // 10  # while nothing arrives, the span is looked at this often
 
 
 class SimulatedClients:
@@ -45,18 +45,18 @@
 
     def start(self) -> None:
         """Schedules the first arrival."""
-        self._events.schedule(0, self._arrive)
+        self._events.schedule(0, self._create_clump)
 
-    def _arrive(self) -> None:
+    def _create_clump(self) -> None:
         """One clump of requests, and the time of the next."""
         now = self._events.now
         if now >= self._arrivals.end:
             return
         gap = self._arrivals.gap(now)
         if gap is None:
-            self._events.schedule(now + QUIET_SPAN_POLL, self._arrive)
+            self._events.schedule(now + IDLE_SPAN_POLL, self._create_clump)
             return
-        self._events.schedule(now + gap, self._arrive)
+        self._events.schedule(now + gap, self._create_clump)
         span = self._arrivals.span(now)
         for arrival in self._arrivals.clump():
             self._created += 1
@@ -79,7 +79,7 @@
             return
         sender = self._fleet.pick(self._random)
         if sender is None or not sender.alive:  # nothing was accepted: another one is tried
-            self._events.schedule(self._events.now + RETRY_AFTER_DEAD_SENDER, self._submit, request)
+            self._events.schedule(self._events.now + DEAD_SENDER_RETRY_DELAY, self._submit, request)
             return
         rejection = sender.accept(request)
         if rejection is not None:
--- a/ashpath/emulator/simulation/discovery.py
+++ b/ashpath/emulator/simulation/discovery.py
@@ -20,11 +20,11 @@
         self._delays = delays  # by sender
         self.added_delay = 0  # microseconds that a fault adds
 
-    def replace(self, destination: int, most: int) -> None:
-        """Endpoints go, and others come at their addresses under new ids; `most` 0: all of them."""
+    def replace(self, destination: int, max_endpoints: int) -> None:
+        """Endpoints go, and others come at their addresses under new ids; `max_endpoints` 0: all of them."""
         model = self._network.destination(destination)
         changes: list[EndpointRecord] = []
-        for name in list(model.endpoints)[: most or None]:
+        for name in list(model.endpoints)[: max_endpoints or None]:
             old = self._network.endpoints[name]
             new_name = successor_name(name)
             model.remove_endpoint(name)
@@ -37,7 +37,7 @@
             self._network.endpoints[new_name] = EndpointAddress(model, added)
             changes += [removed, added]
             for sender in self._fleet.senders:
-                sender.idle_connections.forget(name)
+                sender.idle_connections.discard(name)
         for sender, delay in zip(self._fleet.senders, self._delays, strict=True):
             at = self._events.now + delay + self.added_delay
             self._events.schedule(at, sender.endpoints_changed, changes)
--- a/ashpath/emulator/simulation/event_queue.py
+++ b/ashpath/emulator/simulation/event_queue.py
@@ -9,7 +9,7 @@
 from ashpath.emulator.errors import SimulationStalledError
 from ashpath.emulator.units import SECOND
 
-MOST_EVENTS_OF_ONE_MOMENT = 500_000
+MAX_EVENTS_AT_ONE_TIME = 500_000
 
 Progress = Callable[[float], None]
 """Called with the share of the run that has passed."""
@@ -26,30 +26,30 @@
         self._heap: list[_Event] = []
         self._scheduled = 0
 
-    def schedule(self, at: int, call: Callable[..., None], *arguments: object) -> None:
+    def schedule(self, at: int, callback: Callable[..., None], *arguments: object) -> None:
         """Calls it at this time, or at once if that has passed."""
         self._scheduled += 1
-        heappush(self._heap, (at if at > self.now else self.now, self._scheduled, call, arguments))
+        heappush(self._heap, (at if at > self.now else self.now, self._scheduled, callback, arguments))
 
     def run(
-        self, end: int, last: int, has_open_requests: Callable[[], bool], progress: Progress | None
+        self, end: int, latest_end: int, has_open_requests: Callable[[], bool], progress: Progress | None
     ) -> None:
-        """Runs to `end`, and on to `last` at most while requests are open.
+        """Runs to `end`, and on to `latest_end` at most while requests are open.
 
         Raises SimulationStalledError.
         """
         heap = self._heap
-        shown = 0
-        in_one_moment = 0
+        last_progress_at = 0
+        events_at_this_time = 0
         while heap:
-            at, _, call, arguments = heappop(heap)
-            if at > last or (at > end and not has_open_requests()):
+            at, _, callback, arguments = heappop(heap)
+            if at > latest_end or (at > end and not has_open_requests()):
                 return
-            in_one_moment = in_one_moment + 1 if at == self.now else 0
-            if in_one_moment > MOST_EVENTS_OF_ONE_MOMENT:
-                raise SimulationStalledError(at, MOST_EVENTS_OF_ONE_MOMENT)
+            events_at_this_time = events_at_this_time + 1 if at == self.now else 0
+            if events_at_this_time > MAX_EVENTS_AT_ONE_TIME:
+                raise SimulationStalledError(at, MAX_EVENTS_AT_ONE_TIME)
             self.now = at
-            call(*arguments)
-            if progress is not None and at - shown > SECOND:
-                shown = at
+            callback(*arguments)
+            if progress is not None and at - last_progress_at > SECOND:
+                last_progress_at = at
                 progress(min(1.0, at / end))
--- a/ashpath/emulator/simulation/faults.py
+++ b/ashpath/emulator/simulation/faults.py
@@ -50,7 +50,7 @@
         self._arrivals = arrivals
         self._checker = checker
         self._scoreboard = scoreboard
-        self._senders_faults: dict[str, Callable[[ScriptedFault, list[int]], Undo | None]] = {
+        self._fault_handlers: dict[str, Callable[[ScriptedFault, list[int]], Undo | None]] = {
             "kill": self._kill,
             "split": self._split,
             "clock": self._shift_clocks,
@@ -64,16 +64,16 @@
         if fault.condition:
             condition = parse_condition(fault.condition)
             assert condition is not None
-            self._events.schedule(CONDITION_POLL, self._check, fault, condition)
+            self._events.schedule(CONDITION_POLL, self._check_condition, fault, condition)
         else:
             assert fault.at is not None
             self._events.schedule(int(fault.at), self._begin, fault)
 
-    def _check(self, fault: ScriptedFault, condition: FaultCondition) -> None:
+    def _check_condition(self, fault: ScriptedFault, condition: FaultCondition) -> None:
         if condition.is_met(self._signal(condition.signal)):
             self._begin(fault)
         elif self._events.now < self._arrivals.end:
-            self._events.schedule(self._events.now + CONDITION_POLL, self._check, fault, condition)
+            self._events.schedule(self._events.now + CONDITION_POLL, self._check_condition, fault, condition)
 
     def _signal(self, name: str) -> float:
         if name == "held":
@@ -92,7 +92,7 @@
             undo = self._begin_at_destinations(fault)
         else:
             senders = self._topology.senders_of(fault, len(self._fleet.senders), self._random)
-            undo = self._senders_faults[fault.kind](fault, senders)
+            undo = self._fault_handlers[fault.kind](fault, senders)
         if undo is not None and fault.duration:
             self._events.schedule(self._events.now + int(fault.duration), undo)
 
@@ -125,7 +125,7 @@
         destination = self._network.destination(number)
         destination.remove_fault(fault, amount, self._events.now)
         if not destination.in_outage():
-            self._network.recovery.schedule_check(number, self._events.now)
+            self._network.recovery.schedule_recovery_check(number, self._events.now)
 
     # Faults of senders, clients, discovery and network.
 
@@ -156,10 +156,10 @@
             self._fleet.senders[number].clock_error += int(fault.amount * MILLISECOND)
 
     def _scale_traffic(self, fault: ScriptedFault, _: list[int]) -> Undo:
-        self._arrivals.factor *= fault.amount
+        self._arrivals.rate_factor *= fault.amount
 
         def undo() -> None:
-            self._arrivals.factor = self._arrivals.factor / fault.amount
+            self._arrivals.rate_factor = self._arrivals.rate_factor / fault.amount
 
         return undo
 
--- a/ashpath/emulator/simulation/fleet.py
+++ b/ashpath/emulator/simulation/fleet.py
@@ -12,15 +12,15 @@
 
 
 class Fleet:
-    """`senders` is filled before the run; `_routed` are the numbers that clients are sent to, in order."""
+    """`senders` is filled before the run; `_routable` are the numbers that clients are sent to, in order."""
 
     def __init__(self, events: EventQueue, properties: FleetProperties) -> None:
         self.senders: list[SimulatedSender] = []
         self._events = events
         self._rank_exponent = properties.rank_exponent
         self._removal_delay = int(properties.removal_delay)
-        self._routed = list(range(properties.senders))
-        self._weights: list[float] = []  # of `_routed`, added up; made anew as those change
+        self._routable = list(range(properties.senders))
+        self._cumulative_weights: list[float] = []  # of `_routable`, added up; made anew as those change
 
     def add(self, sender: SimulatedSender) -> None:
         """One more, with the next number."""
@@ -28,15 +28,17 @@
 
     def pick(self, random: Random) -> SimulatedSender | None:
         """The sender that a client is sent to, dead or alive; None: there is none."""
-        if not self._routed:
+        if not self._routable:
             return None
         if not self._rank_exponent:
-            return self.senders[self._routed[random.randrange(len(self._routed))]]
-        if len(self._weights) != len(self._routed):  # they have changed since
+            return self.senders[self._routable[random.randrange(len(self._routable))]]
+        if len(self._cumulative_weights) != len(self._routable):  # they have changed since
             exponent = self._rank_exponent
-            self._weights = list(accumulate((number + 1) ** -exponent for number in self._routed))
-        chosen = bisect(self._weights, random.random() * self._weights[-1])
-        return self.senders[self._routed[chosen]]
+            self._cumulative_weights = list(
+                accumulate((number + 1) ** -exponent for number in self._routable)
+            )
+        chosen = bisect(self._cumulative_weights, random.random() * self._cumulative_weights[-1])
+        return self.senders[self._routable[chosen]]
 
     def messages_held(self) -> int:
         """Messages that senders have accepted and not ended."""
@@ -55,13 +57,13 @@
             self._events.schedule(self._events.now + self._removal_delay, self._stop_routing, sender)
 
     def _stop_routing(self, sender: SimulatedSender) -> None:
-        if not sender.alive and sender.number in self._routed:
-            self._routed.remove(sender.number)
+        if not sender.alive and sender.number in self._routable:
+            self._routable.remove(sender.number)
 
     def start(self, sender: SimulatedSender) -> None:
         """Starts it anew if it is dead."""
         if not sender.alive:
             sender.start()
-            if sender.number not in self._routed:
-                self._routed.append(sender.number)
-                self._routed.sort()
+            if sender.number not in self._routable:
+                self._routable.append(sender.number)
+                self._routable.sort()
--- a/ashpath/emulator/simulation/network.py
+++ b/ashpath/emulator/simulation/network.py
@@ -144,20 +144,20 @@
             or address.model.is_unresponsive(now)
         ):  # nobody answers: the connection never opens
             return self._fail_at(
-                min(now + self._connect_timeout, call.due), call, AttemptOutcome.CONNECT_FAILED
+                min(now + self._connect_timeout, call.times_out_at), call, AttemptOutcome.CONNECT_FAILED
             )
         model = address.model
-        took = 2 * self._one_way()
+        handshake_time = 2 * self._one_way()
         listener = self.listener(call.endpoint)
-        most = model.properties.max_connections
+        max_connections = model.properties.max_connections
         if listener is None or model.faults.down:
-            return self._fail_at(now + took, call, AttemptOutcome.CONNECT_FAILED)
-        if most and model.endpoints[listener].connections >= most:
-            return self._fail_at(now + took, call, AttemptOutcome.CONNECTION_TABLE_FULL)
-        if took >= self._connect_timeout:
+            return self._fail_at(now + handshake_time, call, AttemptOutcome.CONNECT_FAILED)
+        if max_connections and model.endpoints[listener].connections >= max_connections:
+            return self._fail_at(now + handshake_time, call, AttemptOutcome.CONNECTION_TABLE_FULL)
+        if handshake_time >= self._connect_timeout:
             return self._fail_at(now + self._connect_timeout, call, AttemptOutcome.CONNECT_FAILED)
         model.endpoints[listener].connections += 1
-        return self._events.schedule(now + took, self._write, call, True)
+        return self._events.schedule(now + handshake_time, self._write, call, True)
 
     def _write(self, call: InFlightCall, new_connection: bool) -> None:
         sender = call.sender
@@ -186,22 +186,22 @@
         model = address.model
         listener = self.listener(call.endpoint)
         if self.is_split(call.sender.number, address.destination):
-            return self._fail_at(call.due, call, AttemptOutcome.TIMED_OUT)
+            return self._fail_at(call.times_out_at, call, AttemptOutcome.TIMED_OUT)
         if listener is None or model.faults.down:
             return self._fail_at(now + self._one_way(), call, AttemptOutcome.CONNECTION_RESET)
         self.recovery.call_arrived(address.destination, call.sender.number)
         collapses = model.collapses
-        received = call.received = self._hand_over(call, model, listener, new_connection)
+        received = call.received = self._deliver(call, model, listener, new_connection)
         if model.collapses > collapses:
             self.recovery.collapsed(address.destination)
         if received.responds_after >= NEVER:
-            return self._fail_at(call.due, call, AttemptOutcome.TIMED_OUT)
-        back = now + received.responds_after + self._one_way()
-        if back >= call.due:
-            return self._fail_at(call.due, call, AttemptOutcome.TIMED_OUT)
-        return self._events.schedule(back, self._respond, call, received)
+            return self._fail_at(call.times_out_at, call, AttemptOutcome.TIMED_OUT)
+        response_at = now + received.responds_after + self._one_way()
+        if response_at >= call.times_out_at:
+            return self._fail_at(call.times_out_at, call, AttemptOutcome.TIMED_OUT)
+        return self._events.schedule(response_at, self._respond, call, received)
 
-    def _hand_over(
+    def _deliver(
         self, call: InFlightCall, model: DestinationModel, listener: str, new_connection: bool
     ) -> DestinationCall:
         request = call.message.request
@@ -218,7 +218,7 @@
         address = self.endpoints[call.endpoint]
         split = self.is_split(call.sender.number, address.destination)
         if split or address.model.is_unresponsive(self._events.now):
-            self._fail_at(call.due, call, AttemptOutcome.TIMED_OUT)
+            self._fail_at(call.times_out_at, call, AttemptOutcome.TIMED_OUT)
             return
         if received.result is CallResult.RESET or address.model.faults.down:
             self._fail(call, AttemptOutcome.CONNECTION_RESET)
--- a/ashpath/emulator/simulation/recovery.py
+++ b/ashpath/emulator/simulation/recovery.py
@@ -46,14 +46,14 @@
         self._scoreboard.collapsed()
         load = Counter(sender for _, sender in self._calls[destination])
         self._checker.collapsed(now, destination, load)
-        self.schedule_check(destination, self._destinations[destination].collapsed_until)
+        self.schedule_recovery_check(destination, self._destinations[destination].collapsed_until)
 
-    def schedule_check(self, destination: int, recovers_at: int) -> None:
+    def schedule_recovery_check(self, destination: int, recovers_at: int) -> None:
         """Looks whether it has recovered, once slow start that begins then is over."""
-        ramp = self._destinations[destination].properties.slow_start_time
-        self._events.schedule(recovers_at + ramp + 1, self._check, destination)
+        slow_start_time = self._destinations[destination].properties.slow_start_time
+        self._events.schedule(recovers_at + slow_start_time + 1, self._check_recovery, destination)
 
-    def _check(self, destination: int) -> None:
+    def _check_recovery(self, destination: int) -> None:
         model = self._destinations[destination]
         if not model.in_outage() and self._events.now > model.recovered_at + model.properties.slow_start_time:
             self._checker.recovered(destination)
--- a/ashpath/emulator/simulation/run.py
+++ b/ashpath/emulator/simulation/run.py
@@ -26,7 +26,7 @@
 from ashpath.emulator.topology import Topology
 from ashpath.emulator.units import SECOND
 
-MOST_AFTER_DEADLINE = 10 * SECOND
+MAX_TIME_AFTER_DEADLINE = 10 * SECOND
 """A run goes on so long past the last deadline at most."""
 
 
@@ -49,7 +49,7 @@
         self.checker = InvariantChecker(self._settings.drain_grace, self._settings.settle_time, watched)
         self._events = EventQueue()
         self._topology = Topology(scenario, scenario_folder, seed)
-        self._arrivals = Arrivals(scenario, self._topology.shares, seed)
+        self._arrivals = Arrivals(scenario, self._topology.cumulative_shares, seed)
         self.network = self._make_network()
         self._fleet = Fleet(self._events, scenario.fleet)
         self._clients = self._make_clients()
@@ -122,11 +122,11 @@
         Raises SimulationStalledError.
         """
         end = self._arrivals.end
-        longest = max(traffic_class.deadline for traffic_class in self._settings.traffic_classes)
-        last = end + longest + MOST_AFTER_DEADLINE
+        longest_deadline = max(traffic_class.deadline for traffic_class in self._settings.traffic_classes)
+        latest_end = end + longest_deadline + MAX_TIME_AFTER_DEADLINE
         with _frozen_objects():
             self._clients.start()
-            self._events.run(end, last, self.scoreboard.has_open_requests, progress)
+            self._events.run(end, latest_end, self.scoreboard.has_open_requests, progress)
         self.checker.run_ended(self._events.now)
         check_effects(
             self.checker, self._events.now, self._topology.destinations, self._settings.traffic_classes
--- a/ashpath/emulator/simulation/sender.py
+++ b/ashpath/emulator/simulation/sender.py
@@ -106,10 +106,10 @@
 
     def mode_changed(self, text: str, destination: int, endpoint_id: str, down: bool, rate: float) -> None:
         """Keeps what the next incarnation is told of outages."""
-        place = (destination, endpoint_id)
-        if down or self._outages.get(place, (0.0, 0))[1] is None:
+        key = (destination, endpoint_id)
+        if down or self._outages.get(key, (0.0, 0))[1] is None:
             slow_start_ends = None if down else self._events.now + self._settings.warm_up_time
-            self._outages[place] = (rate, slow_start_ends)
+            self._outages[key] = (rate, slow_start_ends)
         self._context.scoreboard.mode_changed(self._events.now, self.number, text)
 
     # Messages.
@@ -187,7 +187,7 @@
             route = self._network.route(call.endpoint)
             self._checker.retry_after_received(now, self.number, route, retry_after)
         if outcome not in NOT_RUN_OUTCOMES:
-            self._may_have_run(call)
+            self._record_possible_run(call)
         delivered = outcome is AttemptOutcome.DELIVERED
         if delivered:
             self.messages.pop(message.number, None)
@@ -197,7 +197,7 @@
         )
 
     @staticmethod
-    def _may_have_run(call: InFlightCall) -> None:
+    def _record_possible_run(call: InFlightCall) -> None:
         message = call.message
         if message.first_run_at < 0:
             message.first_run_at = call.began
@@ -248,7 +248,7 @@
             self._network.connections_closed(call.endpoint, 1)
             outcome = AttemptOutcome.CONNECTION_RESET.value
             self._checker.attempt_finished(self._events.now, self.number, message.number, outcome, call.began)
-        self._may_have_run(call)
+        self._record_possible_run(call)
         message.unresolved = True
 
     def start(self) -> None:
--- a/ashpath/emulator/topology.py
+++ b/ashpath/emulator/topology.py
@@ -38,7 +38,7 @@
                 self.kinds[kind].append(number)
                 self._separate_routes.append(group.limit_per_endpoint)
                 shares.append(group.traffic_share * ranks[rank] / sum(ranks))
-        self.shares = list(accumulate(shares))
+        self.cumulative_shares = list(accumulate(shares))
         """Of the traffic, by destination, added up."""
 
     def route(self, endpoint: str, destination: int) -> str:
