--- a/ashpath/emulator/http_client.py
+++ b/ashpath/emulator/http_client.py
@@ -18,15 +18,15 @@
 
 
 class HttpClient:
-    """`_idle` has connections that carry no request, `most_idle` at most."""
+    """`_idle` has connections that carry no request, `max_idle` at most."""
 
     def __init__(
-        self, address: tuple[str, int], limits: ServerLimits, timeout_s: float, most_idle: int | None = None
+        self, address: tuple[str, int], limits: ServerLimits, timeout_s: float, max_idle: int | None = None
     ) -> None:
         self.address = address
         self._limits = limits
         self._timeout_s = timeout_s
-        self._most_idle = most_idle
+        self._max_idle = max_idle
         self._idle: list[HttpConnection] = []
 
     def request(self, first_line: bytes, headers: Headers = (), body: bytes = b"") -> HttpResponse:
@@ -41,20 +41,20 @@
                 connection = self._take_idle() or open_connection(self.address, self._limits)
                 message = encode_message(first_line, [host_header(self.address), *headers], body)
                 connection.write(message)
-                answer = connection.read_response()
-                if answer.status == 200:
+                response = connection.read_response()
+                if response.status == 200:
                     connection.finish_response()
         except (OSError, ConnectionClosedError, ProtocolError, gevent.Timeout) as error:
             if connection is None:
                 raise NotSentError from error
             connection.close()
             raise UnansweredError from error
-        has_room = self._most_idle is None or len(self._idle) < self._most_idle
-        if answer.keep_alive and not connection.unusable and has_room:
+        has_room = self._max_idle is None or len(self._idle) < self._max_idle
+        if response.keep_alive and not connection.unusable and has_room:
             self._idle.append(connection)
         else:
             connection.close()
-        return answer
+        return response
 
     def _take_idle(self) -> HttpConnection | None:
         while self._idle:
--- a/ashpath/emulator/scoreboard.py
+++ b/ashpath/emulator/scoreboard.py
@@ -22,10 +22,10 @@
 from ashpath.emulator.units import SECOND
 
 WINDOW = 10 * SECOND
-MOST_MODE_CHANGES = 400  # that are kept; the rest is counted
-LEAST_REQUESTS = 20  # that a window must have to be the worst one
-NO_FAILURES = (AttemptOutcome.DELIVERED, AttemptOutcome.LOCAL_FAULT)  # the latter no simulation has
-FAILURES = tuple(outcome.value for outcome in AttemptOutcome if outcome not in NO_FAILURES)
+MAX_MODE_CHANGES = 400  # that are kept; the rest is counted
+MIN_REQUESTS_OF_WORST_WINDOW = 20  # that a window must have to be the worst one
+NOT_FAILURES = (AttemptOutcome.DELIVERED, AttemptOutcome.LOCAL_FAULT)  # the latter no simulation has
+FAILURES = tuple(outcome.value for outcome in AttemptOutcome if outcome not in NOT_FAILURES)
 
 
 class DeliveryValue:
@@ -43,9 +43,9 @@
     def __call__(self, request: ClientRequest, at: int) -> float:
         """The value of a delivery at this time, in microseconds of the run."""
         settings = self._traffic_classes[request.traffic_class]
-        return self._of_class(settings, request, at) * self._weights[request.span]
+        return self._value_in_class(settings, request, at) * self._weights[request.span]
 
-    def _of_class(self, settings: TrafficClassSettings, request: ClientRequest, at: int) -> float:
+    def _value_in_class(self, settings: TrafficClassSettings, request: ClientRequest, at: int) -> float:
         objective = settings.latency_objective
         late = at - request.created_at - objective
         if late <= 0:
@@ -96,7 +96,7 @@
         """As outcome files have it."""
         return {
             "from": number * 10,
-            "g": share(self.value_delivered, self.value_requested),
+            "g": rounded_ratio(self.value_delivered, self.value_requested),
             "handed_in": self.requested,
             "completed": self.delivered,
             "bounced": self.rejected,
@@ -107,9 +107,9 @@
         }
 
 
-def share(part: float, whole: float) -> float:
+def rounded_ratio(numerator: float, denominator: float) -> float:
     """To four places: the same text on every machine."""
-    return round(part / whole, 4) if whole else 0.0
+    return round(numerator / denominator, 4) if denominator else 0.0
 
 
 class Scoreboard:
@@ -197,7 +197,7 @@
         self._mode_change_count += 1
         if "breaker open" in text:
             self._window(at).breakers_opened += 1
-        if self.keeps_mode_changes and len(self.mode_changes) < MOST_MODE_CHANGES:
+        if self.keeps_mode_changes and len(self.mode_changes) < MAX_MODE_CHANGES:
             self.mode_changes.append(ModeChange(at, sender, text))
 
     def collapsed(self) -> None:
@@ -224,17 +224,17 @@
         """The outcome, the same to the byte for the same scenario, seed and policy."""
         windows = sorted(self._windows.items())
         scored = [
-            share(window.value_delivered, window.value_requested)
+            rounded_ratio(window.value_delivered, window.value_requested)
             for _, window in windows
-            if window.requested >= LEAST_REQUESTS
+            if window.requested >= MIN_REQUESTS_OF_WORST_WINDOW
         ]
         by_class = {
-            name: share(self.value_delivered[number], self.value_requested[number])
+            name: rounded_ratio(self.value_delivered[number], self.value_requested[number])
             for number, name in enumerate(self.traffic_classes)
             if self.value_requested[number]
         }
         return {
-            "g": share(sum(self.value_delivered), sum(self.value_requested)),
+            "g": rounded_ratio(sum(self.value_delivered), sum(self.value_requested)),
             "worst_window": min(scored, default=0.0),
             "worst_track": min(by_class.values(), default=0.0),
             "tracks": by_class,
--- a/ashpath/emulator/sender_process.py
+++ b/ashpath/emulator/sender_process.py
@@ -16,7 +16,7 @@
 
 READINESS_TIMEOUT_S = 1.0
 READINESS_POLL_S = 0.05
-SHUTDOWN_S = 6.0
+SHUTDOWN_TIMEOUT_S = 6.0
 
 
 class SenderProcess:
@@ -27,7 +27,7 @@
     ) -> None:
         self.configuration = configuration
         self.log = log
-        self._client = HttpClient(address, limits, READINESS_TIMEOUT_S, most_idle=0)
+        self._client = HttpClient(address, limits, READINESS_TIMEOUT_S, max_idle=0)
         self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
@@ -39,16 +39,16 @@
     def is_ready(self) -> bool:
         """Whether it accepts messages."""
         try:
-            answer = self._client.request(b"GET %s HTTP/1.1" % wire_names.READINESS_PATH)
+            response = self._client.request(b"GET %s HTTP/1.1" % wire_names.READINESS_PATH)
         except RequestError:
             return False
-        return answer.status == 200
+        return response.status == 200
 
     def wait_until_ready(self, timeout_s: float) -> None:
         """Raises SenderStartError where it ends, or is not ready in time."""
-        until = monotonic() + timeout_s
+        deadline = monotonic() + timeout_s
         while not self.is_ready():
-            if monotonic() > until or not self.is_running():
+            if monotonic() > deadline or not self.is_running():
                 raise SenderStartError(self.log)
             gevent.sleep(READINESS_POLL_S)
 
@@ -68,6 +68,6 @@
             return
         self._process.terminate()
         try:
-            self._process.wait(SHUTDOWN_S)
+            self._process.wait(SHUTDOWN_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.kill()
--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -51,7 +51,7 @@
         self._settings = settings
         self._records = records
         self._process: subprocess.Popen[bytes] | None = None
-        self._ready_client = HttpClient(self.address, limits, READY_TIMEOUT_S, most_idle=0)
+        self._ready_client = HttpClient(self.address, limits, READY_TIMEOUT_S, max_idle=0)
         folder.mkdir(parents=True)
         (folder / "state").mkdir()
         (folder / "faults").write_bytes(faults.encode())
--- a/ashpath/emulator/stand_ins.py
+++ b/ashpath/emulator/stand_ins.py
@@ -11,14 +11,14 @@
 from ashpath.server.limits import ServerLimits
 
 LOOPBACK = "127.0.0.1"
-PORTS = (10_000, 32_000)
+PORT_RANGE = (10_000, 32_000)
 RANDOM = Random()  # runs side by side share the ports
-IDLE_CONNECTIONS_MS = 60_000.0
+IDLE_TIMEOUT_MS = 60_000.0
 
 
 def stand_in_limits(descriptors: int, timeout_s: float) -> ServerLimits:
     """Limits of stand-ins: they wait for a request, idle or half sent, as long as this."""
-    settings = policy_settings(0, {"classes": [], "limits": {"conn-idle": IDLE_CONNECTIONS_MS}})
+    settings = policy_settings(0, {"classes": [], "limits": {"conn-idle": IDLE_TIMEOUT_MS}})
     own = {"client_idle_s": timeout_s, "request_s": timeout_s}
     return ServerLimits.from_configuration({"sockets": descriptors, "own": own}, settings)
 
@@ -26,7 +26,7 @@
 def free_port() -> int:
     """A port that nobody listens on just now, below those that the kernel gives to other connections."""
     while True:
-        port = RANDOM.randrange(*PORTS)
+        port = RANDOM.randrange(*PORT_RANGE)
         with socket.socket() as probe, suppress(OSError):
             probe.bind((LOOPBACK, port))
             return port
