--- a/ashpath/emulator/simulation/__init__.py
+++ b/ashpath/emulator/simulation/__init__.py
@@ -1,7 +1,7 @@
-"""A scenario in simulated time: many senders, each with a policy, between clients, destinations, discovery
-and network, as discrete events in one process.
+"""Discrete-event simulation of a scenario in one process and in virtual time.
 
-`ashpath.emulator.runs`, the benchmarks and the tests call it. The same scenario, seed and policy must give
-the same outcome, to the byte, on any machine: nothing here may read a clock, the order of a set, or a
-source of chance that is not seeded by the run.
+The simulation has many senders, each with its own policy, and models of clients, destinations, service
+discovery and the network. `ashpath.emulator.runs`, the benchmarks and the tests call it. The same scenario,
+seed and policy must produce the same outcome, byte for byte, on any machine: no code in this package may
+read a clock, depend on the iteration order of a set, or draw random numbers that the run did not seed.
 """
--- a/ashpath/emulator/simulation/calls.py
+++ b/ashpath/emulator/simulation/calls.py
@@ -1,4 +1,4 @@
-"""What a sender holds of one message, and the call of one attempt, as the network carries it."""
+"""State of messages at a simulated sender, of calls in the network, and of endpoint addresses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StoredMessage:
-    """One message at one sender, as its write-ahead log has it."""
+    """One message at one sender, with the state that the sender's write-ahead log would keep."""
 
     __slots__ = (
         "attempts",
@@ -28,20 +28,20 @@
         self.number = number
         self.request = request
         self.attempts = 0
-        self.first_run_at = -1  # when the first attempt that may have run began; below 0: none
+        self.first_run_at = -1  # start of the first attempt that may have run; negative if none
         self.first_run_endpoint = ""
         self.in_flight: InFlightCall | None = None
-        self.unresolved = False  # an attempt was in flight as its sender was killed
+        self.unresolved = False  # whether an attempt was in flight when its sender was killed
 
 
 class CallOwner(Protocol):
-    """What the network needs of the sender that makes a call."""
+    """The part of a sender that the network uses for a call."""
 
     number: int
     idle_connections: IdleConnections
 
     def still_valid(self, message_id: int) -> bool:
-        """Whether an attempt may still be sent, now that its connection is open."""
+        """Returns whether an attempt may still be sent once its connection is established."""
 
     def attempt_finished(
         self,
@@ -50,11 +50,11 @@
         retry_after: int = 0,
         report: LoadReport | None = None,
     ) -> None:
-        """The one outcome of a call."""
+        """Receives the outcome of a call, once for each call."""
 
 
 class InFlightCall:
-    """The call of one attempt, from its start to its outcome. Times are microseconds."""
+    """The call of one attempt, from its start to its outcome. Times are in microseconds."""
 
     __slots__ = (
         "arrived",
@@ -76,14 +76,14 @@
         self.endpoint = endpoint
         self.began = began
         self.times_out_at = began + timeout
-        self.received: DestinationCall | None = None  # the destination's view of it
-        self.sent = False  # its first byte went out
-        self.arrived = False  # its last byte is at the destination, or on its way to nowhere
-        self.finished = False  # its outcome is known, whatever else still comes
+        self.received: DestinationCall | None = None  # the destination's state of this call
+        self.sent = False  # whether its first byte was sent
+        self.arrived = False  # whether its last byte reached the destination, or is lost
+        self.finished = False  # whether its outcome is known; later events of the call are ignored
 
 
 class EndpointAddress:
-    """Where an endpoint is: its destination, and who answers at its address now."""
+    """The destination of an endpoint, and the endpoint that replaced it at its address."""
 
     __slots__ = ("destination", "model", "record", "successor")
 
@@ -91,4 +91,4 @@
         self.destination = record.destination
         self.model = model
         self.record = record
-        self.successor: str | None = None  # the endpoint that has its address now
+        self.successor: str | None = None  # the endpoint that took over its address
--- a/ashpath/emulator/simulation/clients.py
+++ b/ashpath/emulator/simulation/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a run: they submit requests, and submit them again after a rejection."""
+"""Simulated clients: they submit requests, and resubmit them after a rejection."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from ashpath.emulator.simulation.fleet import Fleet
 from ashpath.emulator.units import SECOND
 
-DEAD_SENDER_RETRY_DELAY = SECOND // 10
-IDLE_SPAN_POLL = SECOND // 10  # while nothing arrives, the span is looked at this often
+DEAD_SENDER_RETRY_DELAY = SECOND // 10  # microseconds
+IDLE_SPAN_POLL = SECOND // 10  # microseconds between checks of the span's rate while the rate is zero
 
 
 class SimulatedClients:
-    """Creates requests to the end of the scenario's arrivals, and follows each to its end."""
+    """Creates requests until the scenario's arrivals end, and tracks each request until it ends."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._events.schedule(0, self._create_clump)
 
     def _create_clump(self) -> None:
-        """One clump of requests, and the time of the next."""
+        """Submits one clump of requests, and schedules the next clump."""
         now = self._events.now
         if now >= self._arrivals.end:
             return
@@ -78,7 +78,7 @@
             self._give_up(request, FinalOutcome.EXPIRED)
             return
         sender = self._fleet.pick(self._random)
-        if sender is None or not sender.alive:  # nothing was accepted: another one is tried
+        if sender is None or not sender.alive:  # no sender accepted the request; the client tries again later
             self._events.schedule(self._events.now + DEAD_SENDER_RETRY_DELAY, self._submit, request)
             return
         rejection = sender.accept(request)
@@ -86,13 +86,16 @@
             self.message_ended(request, rejection.outcome, rejection.retry_after)
 
     def delivered(self, request: ClientRequest) -> None:
-        """The request is done."""
+        """Records the delivery of a request."""
         now = self._events.now
         self._scoreboard.delivered(now, request, self._value(request, now))
 
     def message_ended(self, request: ClientRequest, outcome: FinalOutcome, retry_after: int) -> None:
-        """The message was rejected or failed; rejected, the request may be submitted again, as a new
-        message."""
+        """Resubmits the request of a rejected message as a new message, or gives the request up.
+
+        A request is given up if its message failed, if it has no resubmission left, or if the next one would
+        come after its deadline. `retry_after` is in microseconds, 0 for none.
+        """
         properties = self._properties
         if outcome is FinalOutcome.FAILED or request.resubmissions >= properties.max_resubmissions:
             self._give_up(request, outcome)
--- a/ashpath/emulator/simulation/discovery.py
+++ b/ashpath/emulator/simulation/discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery of a run: each sender receives a change after a delay of its own."""
+"""Simulated service discovery: each sender receives changes of endpoints after its own delay."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class SimulatedDiscovery:
-    """Replaces endpoints, and reports it late."""
+    """Replaces endpoints, and reports the changes to each sender after a delay."""
 
     def __init__(self, events: EventQueue, network: Network, fleet: Fleet, delays: list[int]) -> None:
         self._events = events
         self._network = network
         self._fleet = fleet
-        self._delays = delays  # by sender
-        self.added_delay = 0  # microseconds that a fault adds
+        self._delays = delays  # microseconds, by sender
+        self.added_delay = 0  # microseconds that faults add to each delay
 
     def replace(self, destination: int, max_endpoints: int) -> None:
-        """Endpoints go, and others come at their addresses under new ids; `max_endpoints` 0: all of them."""
+        """Replaces at most `max_endpoints` endpoints, or all if 0, with new ones at the same addresses."""
         model = self._network.destination(destination)
         changes: list[EndpointRecord] = []
         for name in list(model.endpoints)[: max_endpoints or None]:
--- a/ashpath/emulator/simulation/event_queue.py
+++ b/ashpath/emulator/simulation/event_queue.py
@@ -1,5 +1,7 @@
-"""The clock of a simulation and its events: the standard library's heap, by time, then in order of
-scheduling."""
+"""The clock and the event queue of a simulation.
+
+The queue is a heap of the standard library, ordered by time, then by the order of scheduling.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +14,14 @@
 MAX_EVENTS_AT_ONE_TIME = 500_000
 
 Progress = Callable[[float], None]
-"""Called with the share of the run that has passed."""
+"""Callback that receives the elapsed share of the run, from 0 to 1."""
 
-# A plain tuple, as the heap compares two of them without a call into Python: by time, then by number.
+# The heap compares plain tuples by time, then by number, without calling Python code.
 _Event = tuple[int, int, Callable[..., None], tuple[object, ...]]
 
 
 class EventQueue:
-    """Events to come; `now` is the time of the one that is carried out, in microseconds."""
+    """Future events. `now` is the time of the event being processed, in microseconds."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -27,16 +29,17 @@
         self._scheduled = 0
 
     def schedule(self, at: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Calls it at this time, or at once if that has passed."""
+        """Schedules a callback for time `at`, or for the current time if `at` has passed."""
         self._scheduled += 1
         heappush(self._heap, (at if at > self.now else self.now, self._scheduled, callback, arguments))
 
     def run(
         self, end: int, latest_end: int, has_open_requests: Callable[[], bool], progress: Progress | None
     ) -> None:
-        """Runs to `end`, and on to `latest_end` at most while requests are open.
+        """Processes events up to `end`, and up to `latest_end` while requests are open.
 
-        Raises SimulationStalledError.
+        Raises SimulationStalledError if more than MAX_EVENTS_AT_ONE_TIME events follow without the clock
+        advancing.
         """
         heap = self._heap
         last_progress_at = 0
--- a/ashpath/emulator/simulation/faults.py
+++ b/ashpath/emulator/simulation/faults.py
@@ -1,5 +1,4 @@
-"""The script of a scenario: puts faults on when their time comes or their condition holds, and takes them
-off."""
+"""Injects the faults of a scenario, each at its time or when its condition is met, and reverts them."""
 
 from __future__ import annotations
 
@@ -19,15 +18,15 @@
 from ashpath.emulator.topology import Topology
 from ashpath.emulator.units import SECOND
 
-CONDITION_POLL = SECOND // 10  # microseconds between two looks at a condition
-MILLISECOND = 1000
+CONDITION_POLL = SECOND // 10  # microseconds between two checks of a condition
+MILLISECOND = 1000  # microseconds
 
 Undo = Callable[[], None]
-"""Takes a fault off again."""
+"""Reverts a fault."""
 
 
 class FaultScript:
-    """Plays the faults of a scenario."""
+    """Injects the faults of a scenario into the parts of a simulation."""
 
     def __init__(
         self,
@@ -60,7 +59,7 @@
         }
 
     def schedule(self, fault: ScriptedFault) -> None:
-        """Before the run: the fault begins at its time, or as soon as its condition holds."""
+        """Schedules the start of a fault, before the run, at its time or when its condition is first met."""
         if fault.condition:
             condition = parse_condition(fault.condition)
             assert condition is not None
@@ -96,7 +95,7 @@
         if undo is not None and fault.duration:
             self._events.schedule(self._events.now + int(fault.duration), undo)
 
-    # Faults of destinations.
+    # Faults at destinations.
 
     def _begin_at_destinations(self, scripted: ScriptedFault) -> Undo:
         fault = Fault(scripted.kind)
@@ -116,7 +115,7 @@
         destination.add_fault(fault, amount)
         if fault in OUTAGE_FAULTS and not was_in_outage:
             self._checker.outage_began(self._events.now, number)
-        if fault is Fault.DOWN:  # what is open there is reset
+        if fault is Fault.DOWN:  # idle connections to the destination are reset
             for sender in self._fleet.senders:
                 for endpoint in destination.endpoints:
                     sender.idle_connections.close(endpoint)
@@ -127,7 +126,7 @@
         if not destination.in_outage():
             self._network.recovery.schedule_recovery_check(number, self._events.now)
 
-    # Faults of senders, clients, discovery and network.
+    # Faults at senders, clients, service discovery and the network.
 
     def _kill(self, _: ScriptedFault, numbers: list[int]) -> Undo:
         senders = [self._fleet.senders[number] for number in numbers]
--- a/ashpath/emulator/simulation/fleet.py
+++ b/ashpath/emulator/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The senders of a run, and which of them clients are sent to."""
+"""The senders of a run, and the routing of clients to them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Fleet:
-    """`senders` is filled before the run; `_routable` are the numbers that clients are sent to, in order."""
+    """The senders of a run, added before it starts. `_routable` has the numbers of those that clients use."""
 
     def __init__(self, events: EventQueue, properties: FleetProperties) -> None:
         self.senders: list[SimulatedSender] = []
@@ -20,19 +20,19 @@
         self._rank_exponent = properties.rank_exponent
         self._removal_delay = int(properties.removal_delay)
         self._routable = list(range(properties.senders))
-        self._cumulative_weights: list[float] = []  # of `_routable`, added up; made anew as those change
+        self._cumulative_weights: list[float] = []  # of `_routable`; recomputed when its length changes
 
     def add(self, sender: SimulatedSender) -> None:
-        """One more, with the next number."""
+        """Adds the sender with the next number."""
         self.senders.append(sender)
 
     def pick(self, random: Random) -> SimulatedSender | None:
-        """The sender that a client is sent to, dead or alive; None: there is none."""
+        """Returns the sender for a client, dead or alive, or None if no sender is routable."""
         if not self._routable:
             return None
         if not self._rank_exponent:
             return self.senders[self._routable[random.randrange(len(self._routable))]]
-        if len(self._cumulative_weights) != len(self._routable):  # they have changed since
+        if len(self._cumulative_weights) != len(self._routable):
             exponent = self._rank_exponent
             self._cumulative_weights = list(
                 accumulate((number + 1) ** -exponent for number in self._routable)
@@ -41,17 +41,17 @@
         return self.senders[self._routable[chosen]]
 
     def messages_held(self) -> int:
-        """Messages that senders have accepted and not ended."""
+        """Returns the number of messages that senders accepted and that have not ended."""
         return sum(len(sender.messages) for sender in self.senders)
 
     def attempts_in_flight(self) -> int:
-        """Those of them with an attempt in flight."""
+        """Returns the number of held messages with an attempt in flight."""
         return sum(
             message.in_flight is not None for sender in self.senders for message in sender.messages.values()
         )
 
     def kill(self, sender: SimulatedSender) -> None:
-        """Kills it if it lives; a while later clients are no longer sent to it."""
+        """Kills a sender if it is alive, and stops routing clients to it after the removal delay."""
         if sender.alive:
             sender.kill()
             self._events.schedule(self._events.now + self._removal_delay, self._stop_routing, sender)
@@ -61,7 +61,7 @@
             self._routable.remove(sender.number)
 
     def start(self, sender: SimulatedSender) -> None:
-        """Starts it anew if it is dead."""
+        """Restarts a dead sender, and routes clients to it again."""
         if not sender.alive:
             sender.start()
             if sender.number not in self._routable:
--- a/ashpath/emulator/simulation/idle_connections.py
+++ b/ashpath/emulator/simulation/idle_connections.py
@@ -9,31 +9,37 @@
 from ashpath.emulator.units import SECOND
 
 IDLE_MARGIN = SECOND // 5
-"""An idle connection is given up so long before the far end would close it."""
+"""Microseconds before the endpoint closes an idle connection at which the sender no longer uses it."""
 
 
 class ConnectionCounter(Protocol):
-    """Who counts connections at endpoints."""
+    """The counter of open connections at each endpoint."""
 
     def connections_closed(self, endpoint: str, count: int) -> None:
-        """So many connections to an endpoint are closed."""
+        """Records that `count` connections to an endpoint were closed."""
 
 
 class IdleConnections:
-    """`_idle_since` is emptied as connections are taken or closed. Times are microseconds."""
+    """Idle connections by endpoint. Times are in microseconds.
+
+    Entries of `_idle_since` are removed when connections are taken or closed.
+    """
 
     def __init__(self, events: EventQueue, connection_counter: ConnectionCounter, idle_timeout: int) -> None:
         self._events = events
         self._connection_counter = connection_counter
         self._max_idle_time = idle_timeout - IDLE_MARGIN
-        self._idle_since: dict[str, deque[int]] = {}  # by endpoint: since when each connection is idle
+        self._idle_since: dict[str, deque[int]] = {}  # by endpoint: when each connection became idle
 
     def keep(self, endpoint: str) -> None:
-        """A connection is open, and no call is on it."""
+        """Adds an open connection that no call uses."""
         self._idle_since.setdefault(endpoint, deque()).append(self._events.now)
 
     def take(self, endpoint: str) -> bool:
-        """Whether there was a connection that the far end will not close just now; it is no longer idle."""
+        """Takes an idle connection that its endpoint will not close soon, and returns whether one was found.
+
+        Connections that are too old are closed.
+        """
         idle = self._idle_since.get(endpoint)
         while idle:
             since = idle.popleft()
@@ -45,16 +51,16 @@
         return False
 
     def close(self, endpoint: str) -> None:
-        """Closes those to an endpoint."""
+        """Closes the idle connections to an endpoint."""
         count = len(self._idle_since.pop(endpoint, ()))
         if count:
             self._connection_counter.connections_closed(endpoint, count)
 
     def close_all(self) -> None:
-        """Closes those to all endpoints."""
+        """Closes all idle connections."""
         for endpoint in list(self._idle_since):
             self.close(endpoint)
 
     def discard(self, endpoint: str) -> None:
-        """The endpoint is gone, and with it the connections that it held."""
+        """Drops the idle connections to a removed endpoint without counting them as closed."""
         self._idle_since.pop(endpoint, None)
--- a/ashpath/emulator/simulation/network.py
+++ b/ashpath/emulator/simulation/network.py
@@ -1,11 +1,11 @@
-"""The network between senders and destinations: addresses, connections, and calls on their way.
+"""The simulated network between senders and destinations: addresses, connections and calls in transit.
 
-A call goes through these steps, each an event; at any of them it may have its outcome instead.
+A call goes through these steps, each of them an event. A call may also fail at any step.
 
-    start        an idle connection is taken, or a new one is opened, which takes a way there and back
-    write        the connection is open; the sender is asked once more whether the attempt is still valid
-    arrive       the last byte is at the destination, which says what the call meets, and when
-    respond      the response is at the sender
+    start        the call takes an idle connection, or opens a new one, which takes one round trip
+    write        the connection is open; the sender checks once more whether the attempt is still valid
+    arrive       the last byte reaches the destination, whose model decides the result and its time
+    respond      the response reaches the sender
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 class Network:
     """Carries calls.
 
-    `endpoints` grows with endpoints that come in place of others; the rest with calls out.
+    `endpoints` grows with each replaced endpoint; all other state grows with the number of calls in flight.
     """
 
     def __init__(
@@ -62,10 +62,9 @@
         self._checker = checker
         self._scoreboard = scoreboard
         self.recovery = RecoveryMonitor(events, topology.destinations, checker, scoreboard)
-        self.added_latency = 0  # microseconds that a fault adds each way
-        self.split_pairs: set[tuple[int, int]] = (
-            set()
-        )  # senders and destinations that do not reach each other
+        self.added_latency = 0  # microseconds that faults add in each direction
+        # Pairs of a sender and a destination that cannot reach each other.
+        self.split_pairs: set[tuple[int, int]] = set()
         self.endpoints = {
             record.endpoint_id: EndpointAddress(topology.destinations[record.destination], record)
             for record in topology.endpoints
@@ -73,36 +72,36 @@
         self._in_flight: Counter[int] = Counter()  # by destination
         self._on_the_way: Counter[int] = Counter()
 
-    # What an oracle sees.
+    # Global state for the oracle: `ashpath.emulator.policy_under_test.GlobalView`.
 
     def destination(self, number: int) -> DestinationModel:
-        """The model of a destination."""
+        """Returns the model of a destination."""
         return self._topology.destinations[number]
 
     def is_split(self, sender: int, destination: int) -> bool:
-        """Whether the network between the two is cut."""
+        """Returns whether the network between a sender and a destination is partitioned."""
         return (sender, destination) in self.split_pairs
 
     def calls_in_flight(self, destination: int) -> int:
-        """Calls of all senders that have no outcome."""
+        """Returns the number of calls of all senders that have no outcome yet."""
         return self._in_flight[destination]
 
     def calls_on_the_way(self, destination: int) -> int:
-        """Those of them that have not reached the destination."""
+        """Returns the number of calls in flight that have not reached the destination."""
         return self._on_the_way[destination]
 
     def recent_recovery_calls(self, destination: int) -> int:
-        """Calls that count towards a collapse of a destination that is down or in slow start."""
+        """Returns the number of calls that count towards a collapse of a recovering destination."""
         return self.recovery.recent_calls(destination)
 
     # Addresses and connections.
 
     def route(self, endpoint: str) -> str:
-        """What a Retry-After holds for: the destination, or the endpoint where those are separate routes."""
+        """Returns the scope of a Retry-After: the destination, or the endpoint if it is a separate route."""
         return self._topology.route(endpoint, self.endpoints[endpoint].destination)
 
     def listener(self, endpoint: str) -> str | None:
-        """The endpoint that answers at the address of this one; None: nobody does."""
+        """Returns the endpoint that now listens at an endpoint's address, or None if no endpoint does."""
         address = self.endpoints[endpoint]
         while endpoint not in address.model.endpoints and address.successor is not None:
             endpoint = address.successor
@@ -110,14 +109,14 @@
         return endpoint if endpoint in address.model.endpoints else None
 
     def connections_closed(self, endpoint: str, count: int) -> None:
-        """So many connections to an endpoint are closed."""
+        """Records that `count` connections to an endpoint were closed."""
         listener = self.listener(endpoint) if endpoint in self.endpoints else None
         if listener is not None:
             state = self.endpoints[listener].model.endpoints[listener]
             state.connections = max(0, state.connections - count)
 
     def _one_way(self) -> int:
-        """Microseconds that a message takes, as drawn."""
+        """Draws the latency of one direction, in microseconds."""
         delay = (
             self._latency * self._random.lognormvariate(0, self._jitter) if self._jitter else self._latency
         )
@@ -126,7 +125,7 @@
     # Calls.
 
     def start_call(self, call: InFlightCall) -> None:
-        """The attempt's outcome is reported to its sender once, unless the call is cancelled by `release`."""
+        """Starts a call; its outcome is reported to its sender once, unless the sender releases it first."""
         destination = call.message.request.destination
         self._in_flight[destination] += 1
         self._on_the_way[destination] += 1
@@ -142,7 +141,7 @@
             address is None
             or self.is_split(call.sender.number, address.destination)
             or address.model.is_unresponsive(now)
-        ):  # nobody answers: the connection never opens
+        ):  # no response to the connection request
             return self._fail_at(
                 min(now + self._connect_timeout, call.times_out_at), call, AttemptOutcome.CONNECT_FAILED
             )
@@ -212,7 +211,7 @@
         )
 
     def _respond(self, call: InFlightCall, received: DestinationCall) -> None:
-        """A response is here, if what it came from still answers."""
+        """Reports a response to its sender, if the destination is still reachable."""
         if call.finished:
             return
         address = self.endpoints[call.endpoint]
@@ -233,19 +232,21 @@
         self._events.schedule(at, self._fail, call, outcome)
 
     def _fail(self, call: InFlightCall, outcome: AttemptOutcome) -> None:
-        """Its connection is of no further use."""
+        """Closes the connection of a call, and reports the failure to its sender."""
         if not call.finished:
             if call.sent:
                 self.connections_closed(call.endpoint, 1)
             call.sender.attempt_finished(call, outcome)
 
     def cancel(self, call: InFlightCall) -> None:
-        """Its sender no longer wants it."""
+        """Cancels a call at the request of its sender."""
         self._fail(call, AttemptOutcome.CANCELLED)
 
     def release(self, call: InFlightCall) -> None:
-        """The call has its outcome, or its sender was killed: it counts no more, and the destination sees
-        it go."""
+        """Removes a call from the counts of its destination, and ends it in the destination's model.
+
+        The sender calls it when a call has its outcome, or when the sender is killed.
+        """
         destination = call.message.request.destination
         self._in_flight[destination] -= 1
         if not call.arrived:
--- a/ashpath/emulator/simulation/recovery.py
+++ b/ashpath/emulator/simulation/recovery.py
@@ -1,4 +1,4 @@
-"""Watches destinations from an outage to full speed, and reports a collapse with the load that caused it."""
+"""Tracks destinations from an outage to full speed, and reports collapses with the load that caused them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 
 
 class RecoveryMonitor:
-    """`_calls` has the calls at destinations that are down or in slow start, and is emptied as they
-    recover."""
+    """Recent calls at destinations that are down or in slow start.
+
+    `_calls` drops the calls of a destination when it has recovered.
+    """
 
     def __init__(
         self,
@@ -25,14 +27,14 @@
         self._destinations = destinations
         self._checker = checker
         self._scoreboard = scoreboard
-        self._calls: dict[int, deque[tuple[int, int]]] = {}  # by destination: when, and from which sender
+        self._calls: dict[int, deque[tuple[int, int]]] = {}  # by destination: time and sender of each call
 
     def recent_calls(self, destination: int) -> int:
-        """Calls that count towards a collapse."""
+        """Returns the number of recent calls that count towards a collapse."""
         return len(self._calls.get(destination, ()))
 
     def call_arrived(self, destination: int, sender: int) -> None:
-        """Counts a call over the time that counts for a collapse, if the destination has not recovered."""
+        """Counts a call at a destination that has not recovered; drops calls older than overload_duration."""
         if destination not in self._checker.outages:
             return
         recent = self._calls.setdefault(destination, deque())
@@ -41,7 +43,7 @@
             recent.popleft()
 
     def collapsed(self, destination: int) -> None:
-        """A destination was pushed over in slow start."""
+        """Reports the collapse of a destination in slow start with the recent calls of each sender."""
         now = self._events.now
         self._scoreboard.collapsed()
         load = Counter(sender for _, sender in self._calls[destination])
@@ -49,7 +51,7 @@
         self.schedule_recovery_check(destination, self._destinations[destination].collapsed_until)
 
     def schedule_recovery_check(self, destination: int, recovers_at: int) -> None:
-        """Looks whether it has recovered, once slow start that begins then is over."""
+        """Schedules a check for the end of the slow start that begins at `recovers_at`."""
         slow_start_time = self._destinations[destination].properties.slow_start_time
         self._events.schedule(recovers_at + slow_start_time + 1, self._check_recovery, destination)
 
--- a/ashpath/emulator/simulation/run.py
+++ b/ashpath/emulator/simulation/run.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a simulation together, and runs one scenario from its first arrival to its last end."""
+"""Assembles a simulation, and runs one scenario from its first arrival until all requests have ended."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 from ashpath.emulator.units import SECOND
 
 MAX_TIME_AFTER_DEADLINE = 10 * SECOND
-"""A run goes on so long past the last deadline at most."""
+"""Microseconds for which a run may continue after the last deadline."""
 
 
 class Simulation:
-    """One run of one scenario; `scenario_folder` is where the files are that the scenario names."""
+    """One run of a scenario. `scenario_folder` has the files that the scenario names."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self.network = self._make_network()
         self._fleet = Fleet(self._events, scenario.fleet)
         self._clients = self._make_clients()
-        random = Random(f"{seed} world")  # discovery delays first, then the faults as they begin
+        random = Random(f"{seed} world")  # draws discovery delays first, then targets of faults as they begin
         delays = [draw_discovery_delay(scenario.discovery, random) for _ in range(scenario.fleet.senders)]
         self._start_senders(policy_factory)
         self._schedule_faults(SimulatedDiscovery(self._events, self.network, self._fleet, delays), random)
@@ -117,9 +117,9 @@
             script.schedule(fault)
 
     def run(self, progress: Progress | None = None) -> None:
-        """To the end of the arrivals, and on until all requests have their ends.
+        """Runs to the end of the arrivals, and then until all requests have ended.
 
-        Raises SimulationStalledError.
+        Raises SimulationStalledError if a policy keeps scheduling timers for the current time.
         """
         end = self._arrivals.end
         longest_deadline = max(traffic_class.deadline for traffic_class in self._settings.traffic_classes)
@@ -136,8 +136,10 @@
 
 @contextmanager
 def _frozen_objects() -> Iterator[None]:
-    """What lives for the whole run is not walked by each garbage collection: with 300 senders that costs
-    most."""
+    """Excludes the objects that live for the whole run from garbage collection.
+
+    With 300 senders, traversing them in each collection is the largest cost.
+    """
     gc.collect()
     gc.freeze()
     try:
--- a/ashpath/emulator/simulation/sender.py
+++ b/ashpath/emulator/simulation/sender.py
@@ -1,8 +1,8 @@
-"""One simulated sender: a policy, and what `ashpath.server` does around it, without sockets.
+"""A simulated sender: a policy, and the functions of `ashpath.server` around it, without sockets.
 
-Events reach the policy in batches. What the policy asks for is queued, and carried out in order right after
-the batch. A kill leaves the messages behind, as the write-ahead log does, and what the next incarnation is
-told of outages; all else begins anew.
+Events reach the policy in batches. The policy's actions are queued, and run in order after the batch. A kill
+keeps the messages, as the write-ahead log does, and the outages that the next incarnation restores; all other
+state is lost.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 
 class SimulatedSender:
-    """One sender. `messages` is emptied as messages end."""
+    """One sender. `messages` has the messages that have not ended."""
 
     def __init__(self, context: SenderContext, number: int) -> None:
         self.number = number
         self.alive = True
         self.incarnation = 0
-        self.clock_error = 0  # microseconds that its wall clock is ahead
+        self.clock_error = 0  # microseconds by which its wall clock is ahead
         self.messages: dict[int, StoredMessage] = {}
         self._context = context
         self._events = context.events
@@ -43,8 +43,8 @@
         self.idle_connections = IdleConnections(context.events, context.network, context.idle_timeout)
         self._seeds = Random(f"{context.seed} sender {number}")
         self._last_number = 0
-        # By destination and endpoint: the rate before an outage, and until when slow start lasts, if it is
-        # over.
+        # By destination and endpoint: the rate before the outage, and the end of slow start, which is None
+        # while the outage lasts.
         self._outages: dict[tuple[int, str], tuple[float, int | None]] = {}
         self._endpoints: dict[str, EndpointRecord] = {}  # as service discovery last reported
         self._actions: list[Callable[[], None]] = []
@@ -69,43 +69,43 @@
             for action in actions:
                 action()
 
-    # The policy's actions: `ashpath.core.interface.PolicyActions`.
+    # Actions of the policy: `ashpath.core.interface.PolicyActions`.
 
     def start_attempt(self, message_id: int, endpoint_id: str, timeout: int) -> None:
         """Queues an attempt."""
         self._actions.append(partial(self._begin_attempt, self.messages[message_id], endpoint_id, timeout))
 
     def reject(self, message_id: int, retry_after: int) -> None:
-        """Queues the end of a message that its client may submit again."""
+        """Queues the rejection of a message, which its client may submit again."""
         message = self.messages[message_id]
         self._actions.append(partial(self._end_message, message, FinalOutcome.REJECTED, retry_after))
 
     def fail(self, message_id: int) -> None:
-        """Queues the end of a message that may have run."""
+        """Queues the failure of a message that may have run."""
         self._actions.append(partial(self._end_message, self.messages[message_id], FinalOutcome.FAILED, 0))
 
     def cancel_attempt(self, message_id: int, attempt: int) -> None:
-        """Queues the cancellation of the attempt that is in flight."""
+        """Queues the cancellation of a message's attempt in flight."""
         message = self.messages.get(message_id)
         if message is not None and message.in_flight is not None:
             self._actions.append(partial(self._network.cancel, message.in_flight))
 
     def close_idle_connections(self, endpoint_id: str) -> None:
-        """Queues the closing of the idle connections to an endpoint."""
+        """Queues the closing of all idle connections to an endpoint."""
         self._actions.append(partial(self.idle_connections.close, endpoint_id))
 
     def schedule_timer(self, at: int, token: str) -> None:
-        """Has the policy called with the token at this time, if the incarnation lives on."""
+        """Schedules a timer of the policy, which does not fire if the sender is killed before."""
         self._events.schedule(at, self._timer_fired, token, self.incarnation)
 
     def poll_endpoints(self) -> None:
-        """Does nothing: service discovery pushes here."""
+        """Does nothing, as simulated service discovery pushes changes."""
 
     def publish(self, message: bytes) -> None:
-        """Does nothing: simulated senders are no peers of one another."""
+        """Does nothing, as simulated senders exchange no gossip messages."""
 
     def mode_changed(self, text: str, destination: int, endpoint_id: str, down: bool, rate: float) -> None:
-        """Keeps what the next incarnation is told of outages."""
+        """Records the mode change, and the outage that the next incarnation restores."""
         key = (destination, endpoint_id)
         if down or self._outages.get(key, (0.0, 0))[1] is None:
             slow_start_ends = None if down else self._events.now + self._settings.warm_up_time
@@ -115,7 +115,7 @@
     # Messages.
 
     def accept(self, request: ClientRequest) -> Rejection | None:
-        """A client submits a request; None: its message was accepted."""
+        """Submits a client's request to the policy, and returns its rejection, or None if it was accepted."""
         if 0 < self._settings.queue_capacity <= len(self.messages):
             return Rejection(FinalOutcome.REJECTED, 0)
         self._last_number += 1
@@ -161,7 +161,7 @@
         self._network.start_call(call)
 
     def still_valid(self, message_id: int) -> bool:
-        """Whether an attempt may still be sent, now that its connection is open."""
+        """Returns whether an attempt may still be sent once its connection is established."""
         return self._policy.still_valid(message_id, self._events.now)
 
     def attempt_finished(
@@ -171,7 +171,7 @@
         retry_after: int = 0,
         report: LoadReport | None = None,
     ) -> None:
-        """The one outcome of a call; a second one is ignored."""
+        """Records the outcome of a call, and reports it to the policy; a second outcome is ignored."""
         if call.finished:
             return
         now = self._events.now
@@ -210,12 +210,12 @@
     # Endpoints.
 
     def start_with_endpoints(self, records: list[EndpointRecord]) -> None:
-        """The whole list, before the run."""
+        """Sets the complete list of endpoints before the run."""
         self._endpoints = {record.endpoint_id: record for record in records}
         self._run_batch(self._policy.update_endpoints, records, True)
 
     def endpoints_changed(self, records: list[EndpointRecord]) -> None:
-        """Service discovery reported changes."""
+        """Applies reported changes of endpoints; a dead sender keeps them for its next incarnation."""
         for record in records:
             listed = record.status is EndpointStatus.ACTIVE
             if record.status is EndpointStatus.REMOVED:
@@ -230,7 +230,7 @@
     # Incarnations.
 
     def kill(self) -> None:
-        """Its connections are reset; the messages that it holds are in its write-ahead log."""
+        """Ends the incarnation: its connections are reset, and its messages stay in the write-ahead log."""
         self.alive = False
         self.incarnation += 1
         for message in self.messages.values():
@@ -239,7 +239,7 @@
         self.idle_connections.close_all()
 
     def _abandon(self, call: InFlightCall) -> None:
-        """Its sender was killed: the outcome stays unresolved."""
+        """Drops a call of the killed incarnation; the outcome of its attempt stays unresolved."""
         message = call.message
         call.finished = True
         message.in_flight = None
@@ -252,9 +252,9 @@
         message.unresolved = True
 
     def start(self) -> None:
-        """The next incarnation, with what the write-ahead log holds.
+        """Starts the next incarnation with the messages of the write-ahead log and the known outages.
 
-        Retry-After ends with the previous one.
+        A Retry-After does not outlast the incarnation that received it.
         """
         self.alive = True
         self._checker.forget_retry_after(self.number)
--- a/ashpath/emulator/simulation/sender_context.py
+++ b/ashpath/emulator/simulation/sender_context.py
@@ -1,4 +1,4 @@
-"""What a simulated sender is handed, and what it answers its clients."""
+"""The shared context of simulated senders, and their rejections of requests."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class RequestOwner(Protocol):
-    """Whom a sender tells of the end of a message that it had accepted."""
+    """Receives the ends of messages that a sender had accepted."""
 
     def delivered(self, request: ClientRequest) -> None:
-        """The request is done."""
+        """Records the delivery of a request."""
 
     def message_ended(self, request: ClientRequest, outcome: FinalOutcome, retry_after: int) -> None:
-        """The message was rejected or failed; 0: no Retry-After."""
+        """Handles a rejected or failed message. `retry_after` is in microseconds, 0 for none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The answer to a submission that was not accepted, or ended in the batch that it came in."""
+    """The response to a submission that was not accepted, or that ended in the batch that submitted it."""
 
     outcome: FinalOutcome
     retry_after: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderContext:
-    """What all senders of a run share."""
+    """Objects that all senders of a run share."""
 
     scenario: Scenario
     seed: int
