--- a/ashpath/emulator/baselines/__init__.py
+++ b/ashpath/emulator/baselines/__init__.py
@@ -1,5 +1,5 @@
-"""Plain policies to compare the delivery policy with.
+"""Baseline policies for comparison with the delivery policy.
 
-The simulation runs them behind the interface that the delivery policy has. They stand here and nowhere
-else: no sender is ever started with one.
+The simulation runs them through the same interface as the delivery policy. They are used in simulations
+only: no real sender runs one.
 """
--- a/ashpath/emulator/baselines/limits.py
+++ b/ashpath/emulator/baselines/limits.py
@@ -1,5 +1,4 @@
-"""Baselines that differ in what limits their calls: a fixed number, a backoff, a circuit breaker, a
-gradient."""
+"""Baselines that limit their calls by a fixed number, a backoff, a circuit breaker or a latency gradient."""
 
 from __future__ import annotations
 
@@ -11,36 +10,36 @@
 from ashpath.emulator.policy_under_test import GlobalView
 from ashpath.emulator.units import SECOND
 
+# Times are in microseconds.
 MIN_BACKOFF = SECOND // 10
 MAX_BACKOFF = 5 * SECOND
 MAX_DOUBLINGS = 10
-BREAKER_FAILURES = 5  # in a row, until the circuit breaker opens
+BREAKER_FAILURES = 5  # consecutive failures that open the circuit breaker
 BREAKER_COOLDOWN = 5 * SECOND
-GRADIENT_SMOOTHING = 0.02  # of the long-run time
-GRADIENT_TOLERANCE = 1.5  # times the long-run time that is not yet slow
-MIN_GRADIENT = 0.5
-LIMIT_SMOOTHING = 0.2
-FAILURE_FACTOR = 0.9  # of the limit, after a failure
+GRADIENT_SMOOTHING = 0.02  # weight of a new response time in the long-run average
+GRADIENT_TOLERANCE = 1.5  # ratio to the long-run response time up to which a response is not slow
+MIN_GRADIENT = 0.5  # lower bound of the gradient
+LIMIT_SMOOTHING = 0.2  # weight of the target in the new limit
+FAILURE_FACTOR = 0.9  # applied to the limit after a failure
 
 
 class FixedLimit(Baseline):
-    """A fixed number of calls in flight to each destination, and nothing learned."""
+    """Allows a fixed number of calls in flight to each destination; outcomes do not change it."""
 
 
 class Backoff(Baseline):
-    """No limit of its own: after a failure the destination is left alone; the time doubles, with full
-    jitter."""
+    """Pauses a destination after each failure, with exponential backoff and full jitter, and has no limit."""
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions, view: GlobalView) -> None:
         super().__init__(settings, actions, view)
         self.random = Random(settings.seed)
 
     def admits(self, destination: DestinationState) -> bool:
-        """Always."""
+        """Returns True: the policy has no concurrency limit."""
         return True
 
     def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
-        """A failure pauses the destination; a delivery ends the doubling."""
+        """Pauses the destination after a failure, and resets the backoff after a delivery."""
         if outcome is AttemptOutcome.DELIVERED:
             destination.failures = 0
             return
@@ -51,14 +50,14 @@
 
 
 class BreakerOnly(Baseline):
-    """A circuit breaker without a limit: after some failures in a row it opens; then one trial request."""
+    """A circuit breaker without a concurrency limit. After its cooldown it allows one trial request."""
 
     def admits(self, destination: DestinationState) -> bool:
-        """Any number while the breaker is closed, one call while it is half-open."""
+        """Returns True while the circuit breaker is closed; half-open, only if no call is in flight."""
         return destination.failures < BREAKER_FAILURES or destination.in_flight == 0
 
     def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
-        """Counts failures in a row."""
+        """Counts consecutive failures, and opens the circuit breaker at BREAKER_FAILURES."""
         if outcome is AttemptOutcome.DELIVERED:
             destination.failures = 0
             return
@@ -68,17 +67,18 @@
 
 
 class Gradient(Baseline):
-    """A concurrency limit that follows the gradient of response times, after Netflix's description.
+    """A concurrency limit that follows the gradient of response times, as Netflix describes it.
 
-    The long-run time over the present one, from a half to one, times the limit, plus a queue of its root.
+    The target is the limit times the ratio of the long-run response time to the current one, clamped to
+    MIN_GRADIENT..1, plus the square root of the limit as an allowance for queueing.
     """
 
     def admits(self, destination: DestinationState) -> bool:
-        """Below the limit, and always one."""
+        """Returns whether the calls in flight are below the limit, which is at least 1."""
         return destination.in_flight < max(1, int(destination.limit))
 
     def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
-        """Moves the limit."""
+        """Decreases the limit after a failure, or moves it towards its target after a delivery."""
         if outcome is not AttemptOutcome.DELIVERED:
             destination.limit = max(1.0, FAILURE_FACTOR * destination.limit)
             return
@@ -87,7 +87,7 @@
             duration if not long_run else long_run + GRADIENT_SMOOTHING * (duration - long_run)
         )
         if 2 * destination.in_flight < destination.limit:
-            return  # the limit was not what held it
+            return  # the limit did not constrain the calls in flight
         gradient = GRADIENT_TOLERANCE * destination.long_run_time / max(1, duration)
         gradient = max(MIN_GRADIENT, min(1.0, gradient))
         target_limit = destination.limit * gradient + max(1.0, destination.limit**0.5)
--- a/ashpath/emulator/baselines/oracle.py
+++ b/ashpath/emulator/baselines/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle: a policy that sees what none can see. What it comes to is nearly what could be reached."""
+"""The oracle: a policy that reads the true state of the simulation, so that its score is near the optimum."""
 
 from __future__ import annotations
 
@@ -11,34 +11,35 @@
 from ashpath.emulator.policy_under_test import GlobalView
 from ashpath.emulator.units import SECOND
 
-OUTAGE_POLL = SECOND // 10
-BUSY_POLL = SECOND // 40
+OUTAGE_POLL = SECOND // 10  # microseconds between checks of an unreachable destination
+BUSY_POLL = SECOND // 40  # microseconds between checks of a destination without free capacity
 MAX_COMPARED_MESSAGES = 30  # messages from the head of the queue
-COLLAPSE_SHARE = 0.8  # of the load that makes a destination collapse
-SLOW_START_FACTOR = 1.5  # of the workers that its speed would keep busy
+COLLAPSE_SHARE = 0.8  # share of the load that makes a recovering destination collapse
+SLOW_START_FACTOR = 1.5  # ratio of allowed calls to the workers that a destination in slow start keeps busy
 
 
 class Oracle(Baseline):
-    """Sees each destination as it truly is, and what all senders have in flight."""
+    """Reads the true state of each destination, and the calls in flight of all senders."""
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions, view: GlobalView) -> None:
         super().__init__(settings, actions, view)
-        # Attempts of this batch, by destination: not yet on their way, as actions are carried out after it.
+        # Attempts of this batch by destination. The global view does not count them, as actions run after the
+        # batch.
         self.sent_in_batch: dict[int, int] = {}
 
     def begin_batch(self, now: int) -> None:
-        """Opens a batch of events at this moment."""
+        """Begins a batch of events at time `now`, in microseconds."""
         super().begin_batch(now)
         self.sent_in_batch = {}
 
     def send(self, destination: DestinationState, message: QueuedMessage) -> None:
-        """Starts an attempt, and counts it."""
+        """Starts an attempt, and counts it for the batch."""
         number = destination.number
         self.sent_in_batch[number] = self.sent_in_batch.get(number, 0) + 1
         super().send(destination, message)
 
     def admits(self, destination: DestinationState) -> bool:
-        """As long as the destination has workers, is not pushed over, and has quota left."""
+        """Returns whether the destination is reachable, has capacity and quota, and is not near collapse."""
         number = destination.number
         model = self.view.destination(number)
         if model.in_outage() or model.is_unresponsive(self.now) or self.view.is_split(self.number, number):
@@ -68,7 +69,7 @@
         return model.rate_limit.available(self.now) - on_the_way >= 1
 
     def next_message(self, destination: DestinationState) -> QueuedMessage:
-        """Of the first that came, the one that is worth most while it is in time."""
+        """Returns the most valuable of the first MAX_COMPARED_MESSAGES messages in the queue."""
         return max(islice(destination.queue, MAX_COMPARED_MESSAGES), key=self._value)
 
     def _value(self, message: QueuedMessage) -> float:
--- a/ashpath/emulator/baselines/skeleton.py
+++ b/ashpath/emulator/baselines/skeleton.py
@@ -1,7 +1,7 @@
-"""The skeleton that all baselines share.
+"""The base class of all baselines.
 
-It keeps the rules as far as a policy can by itself (retry safety, deduplication windows, Retry-After, drained
-endpoints, order), so that what differs is how many calls each baseline lets out, and when.
+It follows the rules as far as a policy alone can (retry safety, deduplication windows, Retry-After, drained
+endpoints, order), so that baselines differ only in how many calls they start, and when.
 """
 
 from __future__ import annotations
@@ -22,23 +22,25 @@
 from ashpath.emulator.policy_under_test import NOT_RUN_OUTCOMES, GlobalView
 from ashpath.emulator.units import SECOND
 
-ATTEMPT_TIMEOUT = 4 * SECOND  # of a call
+# Times are in microseconds.
+ATTEMPT_TIMEOUT = 4 * SECOND
 FIXED_LIMIT = 8  # calls in flight to a destination
-DEADLINE_MARGIN = SECOND // 20  # so long before its deadline a message is given up
-MIN_TIME_LEFT = SECOND // 10  # before its deadline, for another attempt
+DEADLINE_MARGIN = SECOND // 20  # a message is given up this long before its deadline
+MIN_TIME_LEFT = SECOND // 10  # to the deadline, for another attempt to start
 MIN_ATTEMPT_TIMEOUT = SECOND // 1000
-MAX_IN_FLIGHT_POLL = SECOND // 50  # while all calls that a sender may have are in flight
+MAX_IN_FLIGHT_POLL = SECOND // 50  # delay of the next dispatch while max_in_flight calls are in flight
 MAX_REJECTION_RETRY_AFTER = SECOND
 UNLIMITED_ATTEMPTS = 1 << 30
 UNRESOLVED_OUTCOMES = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED)
 
-DISPATCH_TIMER = "p"  # and the destination's number
-DEADLINE_TIMER = "e"  # and the message's id
-SETTLED_TIMER = "k"  # and the ordering key
+# Prefixes of timer tokens:
+DISPATCH_TIMER = "p"  # followed by the destination's number
+DEADLINE_TIMER = "e"  # followed by the message's id
+SETTLED_TIMER = "k"  # followed by the ordering key
 
 
 class Baseline:
-    """Sends in order of arrival as long as `admits` allows; `record_outcome` learns how attempts end."""
+    """Sends messages in order of arrival while `admits` allows; `record_outcome` receives the outcomes."""
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions, view: GlobalView) -> None:
         self.settings = settings
@@ -47,40 +49,40 @@
         self.number = settings.sender_index
         self.now = 0
         self.destinations: dict[int, DestinationState] = {}
-        self.messages: dict[int, QueuedMessage] = {}  # emptied as they end
+        self.messages: dict[int, QueuedMessage] = {}  # all that have not ended
         self.attempts: dict[int, Attempt] = {}  # in flight, by message
-        self.ordered_queues: dict[int, deque[QueuedMessage]] = {}  # by key; gone with the last one
-        self.settles_until: dict[int, int] = {}  # by key; looked at as its queue moves on
+        self.ordered_queues: dict[int, deque[QueuedMessage]] = {}  # by key; removed when empty
+        self.settles_until: dict[int, int] = {}  # by key; removed when its queue advances after that time
         self.needs_dispatch: dict[DestinationState, None] = {}
 
-    # What a baseline decides.
+    # Decisions of a baseline.
 
     def admits(self, destination: DestinationState) -> bool:
-        """Whether one more call may go out now."""
+        """Returns whether one more call to the destination may start now."""
         return destination.in_flight < FIXED_LIMIT
 
     def record_outcome(self, destination: DestinationState, outcome: AttemptOutcome, duration: int) -> None:
-        """What an outcome changes; `duration` is microseconds."""
+        """Adapts to the outcome of an attempt; `duration` is in microseconds."""
 
     def next_message(self, destination: DestinationState) -> QueuedMessage:
-        """Which message goes next: the first that came."""
+        """Returns the message to send next: the first in the queue."""
         return next(iter(destination.queue))
 
-    # What is reported: `ashpath.emulator.policy_under_test.PolicyUnderTest`.
+    # Events: `ashpath.emulator.policy_under_test.PolicyUnderTest`.
 
     def begin_batch(self, now: int) -> None:
-        """Opens a batch of events at this moment."""
+        """Begins a batch of events at time `now`, in microseconds."""
         self.now = now
 
     def end_batch(self) -> None:
-        """Closes the batch: calls go out now."""
+        """Ends the batch, and dispatches messages."""
         while self.needs_dispatch:
             destination = next(iter(self.needs_dispatch))
             del self.needs_dispatch[destination]
             self._dispatch(destination)
 
     def update_endpoints(self, records: list[EndpointRecord], complete: bool) -> None:
-        """Service discovery reported these endpoints; `complete`: and there are no others."""
+        """Applies reported endpoints; `complete` means that all others no longer exist."""
         if complete:
             for destination in self.destinations.values():
                 destination.endpoints = []
@@ -94,7 +96,7 @@
     def submit(
         self, message_id: int, number: int, traffic_class: int, key: int | None, time_left: int
     ) -> None:
-        """A message for a destination was accepted, `time_left` before its deadline."""
+        """Queues an accepted message, `time_left` microseconds before its deadline."""
         ordering_key = key if self.settings.traffic_classes[traffic_class].ordered else None
         message = QueuedMessage(
             message_id, self._destination(number), traffic_class, ordering_key, self.now + time_left
@@ -109,7 +111,7 @@
         self._enqueue(message)
 
     def restore_outage(self, number: int, endpoint_id: str, rate: float) -> None:
-        """A baseline knows of no outage."""
+        """Does nothing, as baselines keep no outages."""
 
     def restore(
         self,
@@ -120,7 +122,7 @@
         time_left: int,
         previous: PreviousAttempts,
     ) -> None:
-        """The previous incarnation had accepted this message."""
+        """Queues a message that the previous incarnation accepted."""
         self.submit(message_id, number, traffic_class, key, time_left)
         message = self.messages[message_id]
         message.attempts = previous.attempts
@@ -131,7 +133,7 @@
             self._give_up(message)
 
     def still_valid(self, message_id: int, now: int) -> bool:
-        """Whether an attempt may still be sent, now that its connection is open."""
+        """Returns whether an attempt may still be sent once its connection is established."""
         attempt = self.attempts.get(message_id)
         return (
             attempt is not None
@@ -147,7 +149,10 @@
         final: bool,
         report: LoadReport | None,
     ) -> None:
-        """An attempt has its outcome; `retry_after` is its Retry-After, 0 for none."""
+        """Records an attempt's outcome, then ends the message or queues it again.
+
+        `retry_after` is in microseconds, 0 for none. If `final`, the message is not sent again.
+        """
         attempt = self.attempts.pop(message_id, None)
         if attempt is None:
             return
@@ -171,13 +176,13 @@
             self._enqueue(message, first=True)
 
     def client_disconnected(self, message_id: int) -> None:
-        """Nobody waits for this message any more."""
+        """Ends a message whose client disconnected, unless an attempt is in flight."""
         message = self.messages.get(message_id)
         if message is not None and message_id not in self.attempts:
             self._remove(message)
 
     def timer_fired(self, token: str) -> None:
-        """A timer that was scheduled here is due."""
+        """Handles a timer that this policy scheduled."""
         kind = token[0]
         number = int(token[1:])
         if kind == DISPATCH_TIMER and number in self.destinations:
@@ -187,7 +192,7 @@
         elif kind == SETTLED_TIMER:
             self._enqueue_next(number)
 
-    # The skeleton.
+    # Dispatch.
 
     def _destination(self, number: int) -> DestinationState:
         found = self.destinations.get(number)
@@ -202,7 +207,7 @@
         self.needs_dispatch[destination] = None
 
     def _start_settling(self, ordering_key: int, dequeued: QueuedMessage | None = None) -> None:
-        """The key's next message waits until the call that may still run has ended."""
+        """Holds back the key's next message until a call that may still run has had time to end."""
         self.settles_until[ordering_key] = self.now + self.settings.settle_time
         if dequeued is not None:
             dequeued.destination.queue.pop(dequeued, None)
@@ -238,13 +243,13 @@
             self.send(destination, message)
 
     def schedule_dispatch(self, destination: DestinationState, delay: int) -> None:
-        """Dispatches again after this many microseconds; one check ahead is enough."""
+        """Schedules a dispatch after `delay` microseconds, unless one is scheduled already."""
         if destination.next_dispatch_at <= self.now:
             destination.next_dispatch_at = self.now + delay
             self.actions.schedule_timer(destination.next_dispatch_at, f"{DISPATCH_TIMER}{destination.number}")
 
     def send(self, destination: DestinationState, message: QueuedMessage) -> None:
-        """Starts an attempt, at each endpoint in turn."""
+        """Starts an attempt at the next endpoint in round-robin order."""
         destination.sent += 1
         endpoint = destination.endpoints[destination.sent % len(destination.endpoints)]
         destination.in_flight += 1
@@ -271,7 +276,7 @@
             self._enqueue_next(message.ordering_key)
 
     def _enqueue_next(self, ordering_key: int) -> None:
-        """The key's next message may go, if there is one and the key has settled."""
+        """Queues the key's next message if the key has settled and the message has no attempt in flight."""
         queue = self.ordered_queues.get(ordering_key)
         settled = self.settles_until.get(ordering_key, 0) <= self.now
         if not queue:
--- a/ashpath/emulator/baselines/state.py
+++ b/ashpath/emulator/baselines/state.py
@@ -1,4 +1,4 @@
-"""What a baseline knows of messages, attempts and destinations."""
+"""State of messages, attempts and destinations in a baseline."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class QueuedMessage:
-    """One message, from its submission until it is over. Times are microseconds."""
+    """One message, from its submission until it ends. Times are in microseconds."""
 
     __slots__ = (
         "attempts",
@@ -32,7 +32,7 @@
         self.ordering_key = ordering_key
         self.deadline_at = deadline_at
         self.attempts = 0
-        self.first_run_at = -1  # when the first attempt that may have run began; below 0: none
+        self.first_run_at = -1  # start of the first attempt that may have run; negative if none
 
 
 class Attempt:
@@ -50,7 +50,7 @@
 
 
 class DestinationState:
-    """One destination, and what a policy knows of it. `queue` is emptied as its messages go out or end."""
+    """State of one destination. `queue` has the messages that wait to be sent. Times are in microseconds."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -59,8 +59,8 @@
         self.in_flight = 0
         self.queue: OrderedDict[QueuedMessage, None] = OrderedDict()
         self.retry_after_until = 0
-        self.paused_until = 0  # by the policy itself: a backoff, an open circuit breaker
-        self.failures = 0  # in a row
+        self.paused_until = 0  # by a backoff or an open circuit breaker
+        self.failures = 0  # consecutive
         self.limit = 1.0
-        self.long_run_time = 0.0  # microseconds of a call, over the long run
+        self.long_run_time = 0.0  # moving average of the response time
         self.next_dispatch_at = 0
