--- a/ashpath/emulator/__init__.py
+++ b/ashpath/emulator/__init__.py
@@ -1,8 +1,7 @@
-"""A sender's surroundings that are not real: models of destinations, scripted scenarios, and what plays
-them in simulated time or on loopback, with baselines to compare the delivery policy with and a checker of
-its rules.
+"""Emulation of a sender's environment.
 
-`ashpath simulate`, `ashpath demo` and `ashpath check`, the benchmarks and the tests call it. A sender must
-never import it, and nothing here may stand for a destination that anybody measured: all figures are made
-up.
+The package has models of destinations, scripted scenarios, runs of scenarios in simulated time and on
+loopback, baselines to compare the delivery policy with, and a checker of its rules. `ashpath simulate`,
+`ashpath demo` and `ashpath check`, the benchmarks and the tests call it. A sender must never import it. No
+model represents a measured destination: all figures are invented.
 """
--- a/ashpath/emulator/arrivals.py
+++ b/ashpath/emulator/arrivals.py
@@ -1,4 +1,4 @@
-"""Which requests a scenario's clients create, and when: a Poisson process of clumps, by spans."""
+"""Arrivals of client requests: a Poisson process of clumps, with a rate for each span of the scenario."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Arrival(NamedTuple):
-    """One request to come."""
+    """The properties of one arriving request."""
 
     traffic_class: int
     destination: int
@@ -21,7 +21,7 @@
 
 
 class TimedSpan(NamedTuple):
-    """A span of the scenario, and its microseconds of the run."""
+    """A span of the scenario, with its start and end in microseconds of the run."""
 
     begins: int
     ends: int
@@ -29,13 +29,13 @@
 
 
 class Arrivals:
-    """Draws arrivals, with a source of chance of its own."""
+    """Draws arrivals from a random number generator of its own."""
 
     def __init__(self, scenario: Scenario, cumulative_shares: list[float], seed: int) -> None:
         self.end = simulated_length(scenario)
-        """Microseconds; nothing arrives from then on."""
+        """Microseconds of the run; no request arrives from this time on."""
         self.rate_factor = 1.0
-        """Of the traffic; changed by faults."""
+        """Multiplier of the arrival rate, changed by faults."""
         self._cumulative_shares = cumulative_shares
         self._random = Random(f"{seed} clients")
         self._clump_size = scenario.clients.clump_size
@@ -51,24 +51,24 @@
         self._cumulative_class_shares = list(accumulate(scenario.clients.traffic_class_shares.values()))
 
     def span(self, now: int) -> int:
-        """The index of the present span."""
+        """Returns the index of the span at time `now`."""
         return min(bisect(self._spans, now, key=lambda row: row.begins) - 1, len(self._spans) - 1)
 
     def rate(self, now: int) -> float:
-        """Requests a second."""
+        """Returns the arrival rate at time `now`, in requests per second."""
         begins, ends, span = self._spans[self.span(now)]
         end_rate = span.rate if span.end_rate < 0 else span.end_rate
         return (span.rate + (end_rate - span.rate) * (now - begins) / (ends - begins)) * self.rate_factor
 
     def gap(self, now: int) -> int | None:
-        """Microseconds to the next clump; None: nothing comes just now."""
+        """Draws the microseconds to the next clump; returns None while the arrival rate is zero."""
         rate = self.rate(now)
         if rate <= 0:
             return None
         return max(1, int(self._random.expovariate(rate / self._clump_size) * SECOND))
 
     def clump(self) -> list[Arrival]:
-        """The requests that come at once, for one destination."""
+        """Draws the requests of one clump, which arrive together for one destination."""
         random = self._random
         destination = bisect(self._cumulative_shares, random.random() * self._cumulative_shares[-1])
         return [
--- a/ashpath/emulator/client_request.py
+++ b/ashpath/emulator/client_request.py
@@ -1,4 +1,4 @@
-"""What a client of a scenario wants done, whichever clock plays the scenario."""
+"""Requests of a scenario's clients, in simulated time or on loopback."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """One piece of work: submitted once, and again after each rejection, until its deadline.
+    """One request, submitted once, and again after each rejection until its deadline.
 
-    Each submission is a message of its own; the id and the idempotency key are the same for all. Times are
-    microseconds of the run's clock.
+    Each submission is a separate message with the same id and idempotency key. Times are in microseconds of
+    the run's clock.
     """
 
     id: str
@@ -20,11 +20,11 @@
     created_at: int
     deadline_at: int
     span: int
-    """Index of the scenario's span that it was created in."""
+    """Index of the scenario's span in which it was created."""
     idempotency_key: str = field(init=False)
     resubmissions: int = 0
     last_outcome: str = "never sent"
-    """The outcome of its latest attempt, for the table of causes of loss."""
+    """Outcome of its latest attempt, for the table of causes of loss."""
 
     def __post_init__(self) -> None:
         self.idempotency_key = "k" + self.id
--- a/ashpath/emulator/effects.py
+++ b/ashpath/emulator/effects.py
@@ -1,4 +1,4 @@
-"""The check of a run's effects: what destinations saw run more than once, against what may be repeated."""
+"""Checks a run for requests that took effect more than once at a destination."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
     destinations: Iterable[DestinationModel],
     traffic_classes: Sequence[TrafficClassSettings],
 ) -> None:
-    """Reports each request that ran more than once; ids begin with the number of their traffic class."""
+    """Reports each request that ran more than once to the checker, with the retry safety of its class.
+
+    The id of a request begins with the number of its traffic class.
+    """
     for destination in destinations:
         for request, tally in destination.tallies.items():
             if tally.effects > 1:
--- a/ashpath/emulator/errors.py
+++ b/ashpath/emulator/errors.py
@@ -1,7 +1,7 @@
-"""What can go wrong with a run of the emulator.
+"""Errors of emulator runs.
 
-The bases are those that `ashpath.cli` tells apart: a ValueError is bad input, a RuntimeError a run that
-failed.
+Their base classes are those that `ashpath.cli` distinguishes: a ValueError means invalid input, a
+RuntimeError a failed run.
 """
 
 from pathlib import Path
@@ -12,21 +12,23 @@
 
 
 class SimulationStalledError(EmulatorError, ValueError):
-    """A policy asks for a timer at once, again and again: the simulated clock stands still."""
+    """Too many events at one time: a policy keeps scheduling timers for the current time."""
 
     def __init__(self, at: int, events: int) -> None:
-        super().__init__(f"at {at} us more than {events} events follow on one another")
+        super().__init__(
+            f"simulation stalled at {at} us: more than {events} events without the clock advancing"
+        )
 
 
 class UnsupportedFaultError(EmulatorError, ValueError):
-    """A scenario has a fault or a condition that only the simulation can play."""
+    """A scenario has a fault or a condition that only the simulation supports."""
 
     def __init__(self, fault: str) -> None:
-        super().__init__(f"troubles: {fault} is for virtual time only")
+        super().__init__(f"troubles: {fault} is supported in simulated time only")
 
 
 class SenderStartError(EmulatorError, RuntimeError):
-    """A sender's process ended, or was not ready in time."""
+    """A sender's process exited, or was not ready in time."""
 
     def __init__(self, log: Path) -> None:
         super().__init__(f"the sender did not start; see {log}")
@@ -40,12 +42,12 @@
 
 
 class RequestError(EmulatorError):
-    """A request of a stand-in client has no answer."""
+    """An emulated client received no response to a request."""
 
 
 class NotSentError(RequestError):
-    """No connection was opened: the request cannot have been read."""
+    """No connection was established, so the server cannot have read the request."""
 
 
 class UnansweredError(RequestError):
-    """The request went out; whether it was read nobody knows."""
+    """The request may have been sent; whether the server read it is unknown."""
--- a/ashpath/emulator/http_client.py
+++ b/ashpath/emulator/http_client.py
@@ -1,5 +1,7 @@
-"""A client that keeps connections to one sender. Its errors distinguish a request that was not sent from
-one that may have been read."""
+"""An HTTP client with persistent connections to one sender.
+
+Its errors distinguish a request that was not sent from one that the sender may have read.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,7 @@
 
 
 class HttpClient:
-    """`_idle` has connections that carry no request, `max_idle` at most."""
+    """An HTTP client that keeps at most `max_idle` idle connections, or any number if `max_idle` is None."""
 
     def __init__(
         self, address: tuple[str, int], limits: ServerLimits, timeout_s: float, max_idle: int | None = None
@@ -30,10 +32,10 @@
         self._idle: list[HttpConnection] = []
 
     def request(self, first_line: bytes, headers: Headers = (), body: bytes = b"") -> HttpResponse:
-        """The answer, with its body where the status is 200.
+        """Sends a request, and returns the response, with its body if the status is 200.
 
-        Raises NotSentError where no connection was opened, else UnansweredError, both also where `timeout_s`
-        is over.
+        Raises NotSentError if no connection was established, and UnansweredError after any later failure. A
+        timeout raises one of the two.
         """
         connection: HttpConnection | None = None
         try:
--- a/ashpath/emulator/invariant_checker.py
+++ b/ashpath/emulator/invariant_checker.py
@@ -1,16 +1,16 @@
-"""Watches a run and names each broken rule, in the terms of the rules' text alone.
-
-It shares nothing with the policy but the interface's types for traffic classes, and receives only what an
-onlooker with a clock would see. All times are microseconds of the run. What it writes of a rule or a
-message is printed and stored, in words older than the standard terms. The rules, as outcome files name
-them:
-
-    lost        an accepted message has not one final answer by its deadline, or is sent after it
-    doubled     an effect may happen, or did happen, twice
-    drain       a call goes to an endpoint later than the grace after its sender knew that it was removed
-    returning   a destination in slow start was made to collapse by senders that had seen it fail
-    order       a call goes out for a key while an earlier message of that key is not done, or settles
-    wait        a call goes to a destination before the Retry-After that it sent is over
+"""Checks the events of a run against the delivery rules, and reports each violation.
+
+The checker shares only the interface's types for traffic classes with the policy, and receives only events
+that an external observer with a clock could see. All times are in microseconds of the run. The texts of
+violations and message events are printed and stored, and keep terms older than those of the code (envelope,
+shot, once-only, bounced). The rules, by their names in outcome files:
+
+    lost        an accepted message has no final answer by its deadline, has several, or is sent after one
+    doubled     a message may take, or took, effect twice
+    drain       a call is sent to an endpoint after the grace period that follows its reported removal
+    returning   a destination in slow start collapsed under load of senders that had seen it fail
+    order       a call is sent for a key while an earlier message of that key has not ended, or settles
+    wait        a call is sent to a destination before the Retry-After that the destination sent has passed
 """
 
 from __future__ import annotations
@@ -20,49 +20,45 @@
 from ashpath.core.interface import RetrySafety, TrafficClassSettings
 from ashpath.emulator.invariant_records import MessageEvent, OrderedQueue, RuleViolation, WatchedMessage
 
-LATE_TOLERANCE = 50_000  # a final answer so long after the deadline is in time: clocks of onlookers differ
-START_TOLERANCE = 1_500_000  # after a start: what fell due meanwhile has its end by then
-RESPONSIBLE_LOAD_SHARE = (
-    2 / 3
-)  # of the load that senders which knew must have sent, for a collapse to be theirs
-MAX_VIOLATIONS = 100  # broken rules whose stories are kept; the rest is counted
-# Outcomes of attempts, by their names:
-NOT_RUN = frozenset({"full", "no connection", "unsent"})  # these prove that a call has not run
-UNRESOLVED = frozenset({"timed out", "reset", "withdrawn"})  # after these a key settles
+# Times are in microseconds.
+LATE_TOLERANCE = 50_000  # a final answer this long after the deadline is in time, as observers' clocks differ
+START_TOLERANCE = 1_500_000  # after a restart, for the ends of messages that expired during the downtime
+# A collapse violates the rule if senders that had seen the outage sent at least this share of the load.
+RESPONSIBLE_LOAD_SHARE = 2 / 3
+MAX_VIOLATIONS = 100  # violations that are kept with their events; further ones are only counted
+# Outcomes of attempts, by their values:
+NOT_RUN = frozenset({"full", "no connection", "unsent"})  # prove that a call has not run
+UNRESOLVED = frozenset({"timed out", "reset", "withdrawn"})  # an ordering key settles after these
 FAILED = frozenset({"error", "full", "timed out", "no connection", "reset"})
 DELIVERED = "completed"
 REJECTED = "bounced"
 
 
 class InvariantChecker:
-    """`_messages` is emptied as messages are over, `_queues` with them.
+    """Checks the events of all senders of one run.
 
-    `_removed`, `_retry_after` and `_informed_senders` have an entry for each endpoint or destination that a
-    sender was notified of, and go with the run.
+    Entries of `_messages` and `_queues` are removed when messages have ended. `_removed`, `_retry_after` and
+    `_informed_senders` keep an entry for each endpoint or destination that a sender was notified of.
     """
 
     def __init__(self, grace: int, settle_time: int, watched: str = "", retry_after_slack: int = 0) -> None:
         self.violations: list[RuleViolation] = []
         self.counts: Counter[str] = Counter()
-        self.watched_events: list[MessageEvent] = []  # of the message that is watched
-        self.outages: dict[int, int] = {}  # destinations that are down or in slow start: since when
+        self.watched_events: list[MessageEvent] = []  # of the watched message
+        self.outages: dict[int, int] = {}  # destinations down or in slow start, with the start of the outage
         self._grace = grace
         self._settle_time = settle_time
         self._watched = watched
-        self._retry_after_slack = (
-            retry_after_slack  # calls so soon behind it were on their way as it was sent
-        )
-        self._messages: dict[tuple[int, int], WatchedMessage] = {}  # by sender and its own number
+        # Calls sent this soon after a Retry-After were under way when it arrived.
+        self._retry_after_slack = retry_after_slack
+        self._messages: dict[tuple[int, int], WatchedMessage] = {}  # by sender and number at that sender
         self._queues: dict[tuple[int, int], OrderedQueue] = {}  # by sender and key
-        self._removed: dict[
-            tuple[int, str], int
-        ] = {}  # when a sender was notified that an endpoint is removed
-        self._retry_after: dict[
-            tuple[int, str], tuple[int, int]
-        ] = {}  # from and until when, by sender and route
-        self._informed_senders: dict[
-            int, set[int]
-        ] = {}  # senders that saw a call fail there since the outage began
+        # Time at which each sender was notified of an endpoint's removal.
+        self._removed: dict[tuple[int, str], int] = {}
+        # Begin and end of the Retry-After, by sender and route.
+        self._retry_after: dict[tuple[int, str], tuple[int, int]] = {}
+        # Senders that saw a call fail at a destination since its outage began.
+        self._informed_senders: dict[int, set[int]] = {}
         self._now = 0
 
     def _report_violation(self, rule: str, at: int, what: str, message: WatchedMessage | None = None) -> None:
@@ -89,7 +85,7 @@
         ordering_key: int | None,
         deadline_at: int,
     ) -> None:
-        """A sender accepted a message; with an id that its previous incarnation had, it is restored."""
+        """Records that a sender accepted a message, or restored it if the sender already had its number."""
         if (sender, number) in self._messages:
             self.restored(at, sender, number)
             return
@@ -103,14 +99,17 @@
             queue.waiting.append(message)
 
     def restored(self, at: int, sender: int, number: int) -> None:
-        """The next incarnation of a sender has it. No end is overdue until shortly after a start."""
+        """Records that a sender's next incarnation has the message.
+
+        Its final answer is not overdue until START_TOLERANCE after the restart.
+        """
         message = self._messages.get((sender, number))
         if message is not None:
             self._record(message, at, "taken on again by the next life")
             message.deadline_at = max(message.deadline_at, at + START_TOLERANCE - LATE_TOLERANCE)
 
     def final_answer(self, at: int, sender: int, number: int, answer: str) -> None:
-        """The one answer that the message's client, or whoever receives notices for it, has to have."""
+        """Records a final answer to the message's client, or to the receiver of its notices."""
         self._now = at
         message = self._messages.get((sender, number))
         if message is None:
@@ -135,7 +134,7 @@
         self._release(message)
 
     def abandoned(self, at: int, sender: int, number: int) -> None:
-        """Nobody wants it any more."""
+        """Records that the client no longer waits for a message, which then needs no final answer."""
         message = self._messages.get((sender, number))
         if message is not None:
             self._record(message, at, "nobody wants it any more")
@@ -157,7 +156,7 @@
     # Attempts.
 
     def attempt_sent(self, at: int, sender: int, number: int, endpoint: str, route: str) -> None:
-        """The first byte of a call goes out."""
+        """Records that the first byte of a call is sent, and checks the rules for sending."""
         message = self._messages.get((sender, number))
         if message is None:
             self._report_violation("lost", at, f"sender {sender} sends what is over, to {endpoint}")
@@ -208,7 +207,7 @@
             )
 
     def attempt_finished(self, at: int, sender: int, number: int, outcome: str, began: int) -> None:
-        """An attempt that began then has its outcome, as its sender saw it."""
+        """Records the outcome, as its sender saw it, of an attempt that began at `began`."""
         self._now = at
         message = self._messages.get((sender, number))
         if message is None:
@@ -227,41 +226,41 @@
             message.final_answer = DELIVERED
         self._release(message)
 
-    # What senders are notified of.
+    # Notifications to senders.
 
     def endpoint_listed(self, at: int, sender: int, endpoint: str, listed: bool) -> None:
-        """A sender was notified that an endpoint is active, or that it is not."""
+        """Records that a sender was notified whether an endpoint is active."""
         if listed:
             self._removed.pop((sender, endpoint), None)
         else:
             self._removed.setdefault((sender, endpoint), at)
 
     def retry_after_received(self, at: int, sender: int, route: str, retry_after: int) -> None:
-        """A sender received a Retry-After for a destination, or an endpoint that is a route of its own."""
+        """Records a Retry-After for a destination, or for an endpoint that is a separate route."""
         since, until = self._retry_after.get((sender, route), (0, 0))
         if at + retry_after > until:
             begins = since if at < until else at + self._retry_after_slack
             self._retry_after[sender, route] = (begins, at + retry_after)
 
     def forget_retry_after(self, sender: int) -> None:
-        """A Retry-After ends with the incarnation that received it."""
+        """Discards the Retry-After times of a killed sender, as they end with the incarnation."""
         for key in [key for key in self._retry_after if key[0] == sender]:
             del self._retry_after[key]
 
     # Destinations.
 
     def outage_began(self, at: int, destination: int) -> None:
-        """Until the destination has recovered, who calls may know of the outage."""
+        """Records the start of an outage. Senders whose calls fail before the recovery are informed of it."""
         self.outages[destination] = at
         self._informed_senders[destination] = set()
 
     def recovered(self, destination: int) -> None:
-        """It is as it was before its outage."""
+        """Records that a destination is as fast again as before its outage."""
         self.outages.pop(destination, None)
         self._informed_senders.pop(destination, None)
 
     def collapsed(self, at: int, destination: int, load: Counter[int]) -> None:
-        """It was pushed over in slow start, by so many calls of each of these senders."""
+        """Checks a collapse in slow start; `load` has the number of recent calls of each sender."""
         informed = self._informed_senders.get(destination, set())
         informed_calls = sum(count for sender, count in load.items() if sender in informed)
         total_calls = sum(load.values())
@@ -270,7 +269,7 @@
             self._report_violation("returning", at, what)
 
     def effects_counted(self, at: int, request: str, effects: int, retry_safety: RetrySafety) -> None:
-        """How often one request ran in the end, over all messages that carried it."""
+        """Checks how often one request took effect, over all messages that carried it."""
         if effects > 1 and retry_safety is not RetrySafety.IDEMPOTENT:
             self.counts["doubled"] += 1
             if len(self.violations) < MAX_VIOLATIONS:
@@ -279,7 +278,7 @@
                 )
 
     def run_ended(self, at: int) -> None:
-        """Everything has had its time: what has no end is lost."""
+        """Reports messages without a final answer whose deadline has passed, at the end of the run."""
         for message in self._messages.values():
             if not message.final_answer and at > message.deadline_at + LATE_TOLERANCE:
                 self._report_violation("lost", at, "no final answer", message)
--- a/ashpath/emulator/invariant_records.py
+++ b/ashpath/emulator/invariant_records.py
@@ -1,4 +1,4 @@
-"""What the invariant checker keeps of messages, and what it reports of a broken rule."""
+"""Records of the invariant checker: messages, ordered queues and rule violations."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MessageEvent(NamedTuple):
-    """One thing that was seen of a message."""
+    """One observed event of a message."""
 
     at: int
     what: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """One broken rule, and the story of the message that it was broken for, as far as there is one."""
+    """One violation of a rule, with the events of the message that it concerns, if any."""
 
     rule: str
     at: int
@@ -29,7 +29,7 @@
 
 @dataclass(eq=False, slots=True)
 class WatchedMessage:
-    """One message at one sender, from its acceptance until it is over and nothing of it is in flight."""
+    """One message at one sender, from its acceptance until it has ended and has no attempt in flight."""
 
     id: str
     sender: int
@@ -39,18 +39,21 @@
     ordering_key: int | None
     deadline_at: int
     in_flight: int = 0
-    """Attempts without an outcome."""
+    """Number of attempts without an outcome."""
     first_run_at: int | None = None
-    """When the first attempt that may have run went out."""
+    """Start of the first attempt that may have run."""
     final_answer: str = ""
     events: list[MessageEvent] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
 class OrderedQueue:
-    """The messages of one key at one sender, in the order accepted; gone with the last, unless it settles."""
+    """The messages of one key at one sender, in order of acceptance.
+
+    The queue is removed with its last message, unless the key settles.
+    """
 
     waiting: deque[WatchedMessage] = field(default_factory=deque)
     settles_until: int = 0
     settling_message: WatchedMessage | None = None
-    """Its call may run on: it alone may be sent again meanwhile."""
+    """Message whose call may still run; only this message may be sent while the key settles."""
--- a/ashpath/emulator/notice_receiver.py
+++ b/ashpath/emulator/notice_receiver.py
@@ -1,4 +1,4 @@
-"""Receives a sender's notices of messages that it had accepted and could not deliver."""
+"""HTTP server for a sender's notices of accepted messages that it could not deliver."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The end of one message."""
+    """The final outcome of one message."""
 
     message_id: str
     outcome: FinalOutcome
     """REJECTED or FAILED."""
     retry_after_s: float
-    """0 where the notice has none."""
+    """0 if the notice has none."""
 
 
 class NoticeHandler(Protocol):
-    """Whoever wants the notices."""
+    """Handler of received notices."""
 
     def notified(self, notice: Notice) -> None:
-        """One notice, which may come again."""
+        """Handles one notice; the same notice may be received more than once."""
 
 
 class NoticeReceiver:
-    """Listens from its making to `stop`."""
+    """Listens for notices from its construction until `stop`. Port 0 selects a free port."""
 
     def __init__(self, handler: NoticeHandler, limits: ServerLimits, port: int = 0) -> None:
         self._handler = handler
--- a/ashpath/emulator/policies.py
+++ b/ashpath/emulator/policies.py
@@ -1,4 +1,4 @@
-"""The policies that a scenario can be played with, by the names of the command line and of outcome files."""
+"""The policies that a scenario can run with, by their names on the command line and in outcome files."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def delivery_policy(settings: PolicySettings, actions: PolicyActions, _: GlobalView, /) -> PolicyUnderTest:
-    """The policy that senders run."""
+    """Creates the delivery policy that real senders run."""
     return DeliveryPolicy(settings, actions)
 
 
--- a/ashpath/emulator/policy_under_test.py
+++ b/ashpath/emulator/policy_under_test.py
@@ -1,7 +1,8 @@
 """The interfaces between the simulation and the policy that it runs.
 
-The delivery policy and the baselines stand behind `PolicyUnderTest`. A `PolicyFactory` makes one for each
-incarnation of a sender. `GlobalView` is what no real policy can see; the oracle alone looks at it.
+The delivery policy and the baselines implement `PolicyUnderTest`. A `PolicyFactory` creates one for each
+incarnation of a sender. `GlobalView` gives access to state that no real policy can see; only the oracle
+uses it.
 """
 
 from __future__ import annotations
@@ -31,24 +32,24 @@
 
 
 class PolicyUnderTest(Protocol):
-    """What a sender reports to its policy, always between `begin_batch` and `end_batch`.
+    """Events that a sender reports to its policy, always between `begin_batch` and `end_batch`.
 
-    Times are microseconds. See `ashpath.core.interface` for the actions that a policy asks for in return.
+    Times are in microseconds. `ashpath.core.interface` has the actions that a policy requests in return.
     """
 
     def begin_batch(self, now: int) -> None:
-        """Opens a batch of events at this moment."""
+        """Begins a batch of events at time `now`."""
 
     def end_batch(self) -> None:
-        """Closes the batch: the policy decides now."""
+        """Ends the batch, after which the policy takes its decisions."""
 
     def update_endpoints(self, records: list[EndpointRecord], complete: bool) -> None:
-        """Service discovery reported these endpoints; `complete`: and there are no others."""
+        """Applies reported endpoints; `complete` means that all others no longer exist."""
 
     def submit(
         self, message_id: int, number: int, traffic_class: int, key: int | None, time_left: int
     ) -> None:
-        """A message for a destination was accepted, `time_left` before its deadline."""
+        """Submits an accepted message, `time_left` before its deadline."""
 
     def restore(
         self,
@@ -59,13 +60,13 @@
         time_left: int,
         previous: PreviousAttempts,
     ) -> None:
-        """The previous incarnation had accepted this message."""
+        """Restores a message that the previous incarnation accepted."""
 
     def restore_outage(self, number: int, endpoint_id: str, rate: float) -> None:
-        """The previous incarnation saw this destination or endpoint down."""
+        """Restores an outage of a destination or endpoint that the previous incarnation saw."""
 
     def still_valid(self, message_id: int, now: int) -> bool:
-        """Whether an attempt may still be sent, now that its connection is open."""
+        """Returns whether an attempt may still be sent once its connection is established."""
 
     def attempt_finished(
         self,
@@ -75,38 +76,41 @@
         final: bool,
         report: LoadReport | None,
     ) -> None:
-        """An attempt has its outcome; `retry_after` is its Retry-After, 0 for none."""
+        """Reports an attempt's outcome.
+
+        `retry_after` is 0 if the response has no Retry-After. If `final`, the message must not be sent again.
+        """
 
     def client_disconnected(self, message_id: int) -> None:
-        """Nobody waits for this message any more."""
+        """Reports that the client no longer waits for a message."""
 
     def timer_fired(self, token: str) -> None:
-        """A timer that the policy scheduled is due."""
+        """Reports that a timer of the policy is due."""
 
 
 class GlobalView(Protocol):
-    """The true state of destinations and network, over all senders."""
+    """The true state of destinations and the network, over all senders."""
 
     def destination(self, number: int) -> DestinationModel:
-        """The model of a destination."""
+        """Returns the model of a destination."""
 
     def is_split(self, sender: int, destination: int) -> bool:
-        """Whether the network between the two is cut."""
+        """Returns whether the network between a sender and a destination is partitioned."""
 
     def calls_in_flight(self, destination: int) -> int:
-        """Calls of all senders that have no outcome."""
+        """Returns the number of calls of all senders that have no outcome yet."""
 
     def calls_on_the_way(self, destination: int) -> int:
-        """Those of them that have not reached the destination."""
+        """Returns the number of calls in flight that have not reached the destination."""
 
     def recent_recovery_calls(self, destination: int) -> int:
-        """Calls that count towards a collapse of a destination that is down or in slow start."""
+        """Returns the number of calls that count towards a collapse of a recovering destination."""
 
 
 class PolicyFactory(Protocol):
-    """Makes the policy of one incarnation of a sender."""
+    """Creates the policy of one incarnation of a sender."""
 
     def __call__(
         self, settings: PolicySettings, actions: PolicyActions, view: GlobalView, /
     ) -> PolicyUnderTest:
-        """A policy that knows no endpoint and no message."""
+        """Returns a policy without endpoints and messages."""
--- a/ashpath/emulator/run_clock.py
+++ b/ashpath/emulator/run_clock.py
@@ -1,4 +1,4 @@
-"""The clock of a run in real time: microseconds since its beginning, of the machine's monotonic clock."""
+"""The clock of a run in real time: microseconds of the monotonic clock since the start of the run."""
 
 from __future__ import annotations
 
@@ -6,20 +6,23 @@
 
 
 def monotonic_us() -> int:
-    """The machine's monotonic clock, which all its processes share."""
+    """Returns microseconds of the monotonic clock, which all processes of the machine share."""
     return monotonic_ns() // 1000
 
 
 class RunClock:
-    """Begins as it is made, unless a beginning is given; whoever holds it sees a restart."""
+    """Starts at construction, or at `began` in microseconds of the monotonic clock.
+
+    All parts of a run share one instance, so that a restart applies to all of them.
+    """
 
     def __init__(self, began: int | None = None) -> None:
         self.began = monotonic_us() if began is None else began
 
     def now(self) -> int:
-        """Microseconds since the beginning."""
+        """Returns the microseconds since the start."""
         return monotonic_us() - self.began
 
     def restart(self) -> None:
-        """The run begins now."""
+        """Sets the start to the current time."""
         self.began = monotonic_us()
--- a/ashpath/emulator/runs.py
+++ b/ashpath/emulator/runs.py
@@ -1,5 +1,7 @@
-"""Runs of scenarios: one, or many seeds and policies in processes of their own, with the same outcome
-whatever their number; and the outcome file that is written of them."""
+"""Runs of scenarios, and outcome files.
+
+Many seeds and policies run in parallel processes; the outcome does not depend on the number of processes.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What one run comes to; `result` is as `Scoreboard.result` has it."""
+    """The outcome of one run. `result` is the value of `Scoreboard.result`."""
 
     seed: int
     policy: str
@@ -37,22 +39,22 @@
     mode_changes: list[ModeChange]
 
     def row(self) -> JsonObject:
-        """As outcome files have it."""
+        """Returns the run's row of an outcome file."""
         broken = [
-            {"rule": one.rule, "at": one.at, "what": one.what, "id": one.message_id}
-            for one in self.violations
+            {"rule": violation.rule, "at": violation.at, "what": violation.what, "id": violation.message_id}
+            for violation in self.violations
         ]
         return {"seed": self.seed, "policy": self.policy, **self.result, "broken": broken}
 
 
 def scenario_path(name: str) -> Path:
-    """A file, or a scenario of the library by its name. The file need not exist."""
+    """Returns the path of a scenario, given as a file or by its name in the library. It may not exist."""
     path = Path(name)
     return path if path.suffix == ".toml" or path.exists() else SCENARIO_LIBRARY / f"{name}.toml"
 
 
 def simulate(path: Path, seed: int, policy: str, watched: str = "", progress: Progress | None = None) -> Run:
-    """One run in simulated time. `watched` is the id of a message whose story is kept.
+    """Runs a scenario in simulated time. `watched` is the id of a request whose events are kept.
 
     Raises InvalidConfigurationError, OSError, ValueError or SimulationStalledError.
     """
@@ -69,11 +71,11 @@
 def run_on_loopback(
     path: Path, seed: int, folder: Path, watched: str = "", progress: Progress | None = None
 ) -> Run:
-    """One run on sockets, with `ashpath serve` processes; files and logs of the run go to the folder.
+    """Runs a scenario on sockets, with `ashpath serve` processes that write files and logs to `folder`.
 
-    Raises what `simulate` does, UnsupportedFaultError and FleetStartError.
+    Raises the errors of `simulate`, UnsupportedFaultError and FleetStartError.
     """
-    from ashpath.emulator.loopback.run import LoopbackRun  # gevent, and a sender's modules
+    from ashpath.emulator.loopback.run import LoopbackRun  # imports gevent and modules of the sender
 
     scenario = read_scenario(path)
     scoreboard = Scoreboard(list(scenario.traffic_classes))
@@ -84,25 +86,25 @@
 
 
 def simulate_all(path: Path, seeds: list[int], policies: list[str], jobs: int) -> Iterator[Run]:
-    """Every seed under every policy, in that order, whichever is done first."""
+    """Runs each seed under each policy, and yields the runs by policy, then by seed."""
     runs = [(path, seed, policy) for policy in policies for seed in seeds]
     if jobs == 1 or len(runs) == 1:
         yield from (simulate(*arguments) for arguments in runs)
         return
-    # Started afresh: a fork would carry an event loop, or a progress bar's thread, along.
+    # A forked process would inherit an event loop, or the thread of a progress bar.
     with ProcessPoolExecutor(min(jobs, len(runs)), mp_context=get_context("spawn")) as pool:
         yield from pool.map(simulate, *zip(*runs, strict=True))
 
 
 def outcome_file(scenario: Scenario, name: str, runs: list[Run]) -> bytes:
-    """A line for the scenario, and one for each run, the same to the byte each time."""
+    """Returns a line for the scenario and one for each run; equal runs give equal bytes."""
     head = {"day": name, "lesson": scenario.about.lesson, "runs": len(runs)}
     lines = [head, *(run.row() for run in runs)]
     return b"".join(orjson.dumps(line, option=orjson.OPT_SORT_KEYS) + b"\n" for line in lines)
 
 
 def policy_table(runs: list[Run]) -> list[JsonObject]:
-    """A row for each policy over its seeds."""
+    """Returns a row for each policy, over all of its seeds."""
     return [
         _policy_row(policy, [run.result for run in runs if run.policy == policy])
         for policy in dict.fromkeys(run.policy for run in runs)
@@ -113,11 +115,11 @@
     return {
         "policy": policy,
         "seeds": len(results),
-        "g": round(mean(one["g"] for one in results), 4),
-        "least": min(one["g"] for one in results),
-        "worst_10s": round(mean(one["worst_window"] for one in results), 4),
-        "worst_track": round(mean(one["worst_track"] for one in results), 4),
-        "shots": round(mean(one["shots"] / max(1, one["handed_in"]) for one in results), 3),
-        "fell": sum(one["falls"] for one in results),
-        "rules_broken": sum(sum(one["rules"].values()) for one in results),
+        "g": round(mean(result["g"] for result in results), 4),
+        "least": min(result["g"] for result in results),
+        "worst_10s": round(mean(result["worst_window"] for result in results), 4),
+        "worst_track": round(mean(result["worst_track"] for result in results), 4),
+        "shots": round(mean(result["shots"] / max(1, result["handed_in"]) for result in results), 3),
+        "fell": sum(result["falls"] for result in results),
+        "rules_broken": sum(sum(result["rules"].values()) for result in results),
     }
--- a/ashpath/emulator/scoreboard.py
+++ b/ashpath/emulator/scoreboard.py
@@ -1,9 +1,9 @@
-"""The score of a run: the value that was delivered over the value asked for, by windows of ten seconds and by
-traffic class, with the causes of loss.
+"""The score of a run: delivered value over requested value, by windows of ten seconds and by traffic class,
+with the causes of loss.
 
-G is the part of the value of all requests that was delivered, each at its value by then: over the whole
-run, in the worst window by when the requests were created, and of the worst traffic class.
-`Scoreboard.result` maps the names here to those of outcome files.
+G is the share of the value of all requests that was delivered, where a delivery counts with its value at that
+time. G is given for the whole run, for the worst window (by creation of the requests) and for the worst
+traffic class. `Scoreboard.result` maps the names in this module to those of outcome files.
 """
 
 from __future__ import annotations
@@ -21,27 +21,26 @@
 from ashpath.emulator.scenario.settings import span_weight
 from ashpath.emulator.units import SECOND
 
-WINDOW = 10 * SECOND
-MAX_MODE_CHANGES = 400  # that are kept; the rest is counted
-MIN_REQUESTS_OF_WORST_WINDOW = 20  # that a window must have to be the worst one
-NOT_FAILURES = (AttemptOutcome.DELIVERED, AttemptOutcome.LOCAL_FAULT)  # the latter no simulation has
+WINDOW = 10 * SECOND  # microseconds
+MAX_MODE_CHANGES = 400  # changes that are kept; further ones are only counted
+MIN_REQUESTS_OF_WORST_WINDOW = 20  # windows with fewer requests are never the worst one
+NOT_FAILURES = (AttemptOutcome.DELIVERED, AttemptOutcome.LOCAL_FAULT)  # simulations have no local faults
 FAILURES = tuple(outcome.value for outcome in AttemptOutcome if outcome not in NOT_FAILURES)
 
 
 class DeliveryValue:
-    """The value of a request's delivery at a time, by the settings of its traffic class."""
+    """The value of a request's delivery at a given time, by the settings of its traffic class."""
 
     def __init__(
         self, traffic_classes: Sequence[TrafficClassSettings], halves: bool, spans: Iterable[Span]
     ) -> None:
         self._traffic_classes = traffic_classes
-        self._halves = (
-            halves  # a late delivery's value halves with each latency objective; else it falls evenly
-        )
-        self._weights = [span_weight(span) for span in spans]  # thinned spans count more
+        # The value of a late delivery halves with each latency objective, or else decreases linearly.
+        self._halves = halves
+        self._weights = [span_weight(span) for span in spans]  # spans with thinned traffic weigh more
 
     def __call__(self, request: ClientRequest, at: int) -> float:
-        """The value of a delivery at this time, in microseconds of the run."""
+        """Returns the value of a delivery at time `at`, in microseconds of the run."""
         settings = self._traffic_classes[request.traffic_class]
         return self._value_in_class(settings, request, at) * self._weights[request.span]
 
@@ -59,7 +58,7 @@
 
 
 class ModeChange(NamedTuple):
-    """A line that a policy wrote as one of its circuit breakers or limits changed."""
+    """A line that a policy logged when one of its circuit breakers or limits changed."""
 
     at: int
     sender: int
@@ -67,7 +66,7 @@
 
 
 class Window:
-    """Ten seconds: value is counted when its request was created, all else when it happened."""
+    """Counts of ten seconds. Value counts when its request was created, all else when it happened."""
 
     __slots__ = (
         "attempts",
@@ -93,7 +92,7 @@
         self.failures: Counter[str] = Counter()  # of attempts, by outcome
 
     def row(self, number: int) -> JsonObject:
-        """As outcome files have it."""
+        """Returns the window's row of an outcome file."""
         return {
             "from": number * 10,
             "g": rounded_ratio(self.value_delivered, self.value_requested),
@@ -108,15 +107,15 @@
 
 
 def rounded_ratio(numerator: float, denominator: float) -> float:
-    """To four places: the same text on every machine."""
+    """Returns the ratio rounded to four places, so that its text is the same on every machine."""
     return round(numerator / denominator, 4) if denominator else 0.0
 
 
 class Scoreboard:
-    """Counts what happens in a run.
+    """Counts the events of a run.
 
-    `open_requests` counts those that have no end yet; all else grows with the length of the run, not its
-    requests.
+    `open_requests` is the number of requests that have not ended. The memory in use grows with the length of
+    the run, not with its number of requests.
     """
 
     def __init__(self, traffic_classes: list[str], *, keeps_mode_changes: bool = False) -> None:
@@ -130,7 +129,7 @@
         self._windows: dict[int, Window] = {}
         self._causes: Counter[str] = Counter()
         self._ends: Counter[str] = Counter()
-        self._faults: list[tuple[int, str]] = []  # when each began, and its kind
+        self._faults: list[tuple[int, str]] = []  # start and kind of each fault
         self._mode_change_count = 0
         self._collapses = 0
         self._broken_rules: Counter[str] = Counter()
@@ -146,7 +145,7 @@
     # Requests.
 
     def requested(self, request: ClientRequest, value: float) -> None:
-        """A client created a request, which is worth this if it is delivered at once."""
+        """Counts a request that a client created; `value` is that of an immediate delivery."""
         window = self._window(request.created_at)
         window.requested += 1
         window.value_requested += value
@@ -155,7 +154,7 @@
         self.requested_count += 1
 
     def delivered(self, at: int, request: ClientRequest, value: float) -> None:
-        """A request was delivered, and is worth this."""
+        """Counts a delivered request; `value` is that of its delivery at time `at`."""
         self._window(request.created_at).value_delivered += value
         self._window(at).delivered += 1
         self.value_delivered[request.traffic_class] += value
@@ -163,7 +162,7 @@
         self.open_requests -= 1
 
     def undelivered(self, at: int, request: ClientRequest, outcome: FinalOutcome) -> None:
-        """A client gave a request up."""
+        """Counts a request that a client gave up."""
         window = self._window(at)
         failed = outcome is FinalOutcome.FAILED
         window.failed += failed
@@ -174,26 +173,26 @@
         self.open_requests -= 1
 
     def resubmitted(self) -> None:
-        """A client submits a rejected request again."""
+        """Counts a resubmission of a rejected request."""
         self._resubmissions += 1
 
     def has_open_requests(self) -> bool:
-        """Whether a request has no end yet."""
+        """Returns whether any request has not ended."""
         return self.open_requests != 0
 
     # Senders and destinations.
 
     def attempt_sent(self, at: int) -> None:
-        """The first byte of an attempt went out."""
+        """Counts an attempt whose first byte was sent."""
         self._window(at).attempts += 1
 
     def attempt_finished(self, at: int, outcome: AttemptOutcome) -> None:
-        """An attempt has its outcome."""
+        """Counts the outcome of an attempt, unless it is a delivery."""
         if outcome is not AttemptOutcome.DELIVERED:
             self._window(at).failures[outcome.value] += 1
 
     def mode_changed(self, at: int, sender: int, text: str) -> None:
-        """A policy changed the mode of a circuit breaker or a limit."""
+        """Counts a mode change of a policy's circuit breaker or limit."""
         self._mode_change_count += 1
         if "breaker open" in text:
             self._window(at).breakers_opened += 1
@@ -201,27 +200,27 @@
             self.mode_changes.append(ModeChange(at, sender, text))
 
     def collapsed(self) -> None:
-        """A destination was pushed over in slow start."""
+        """Counts a collapse of a destination in slow start."""
         self._collapses += 1
 
     def fault_began(self, at: int, kind: str) -> None:
-        """A fault of the script was put on."""
+        """Records the start of a scripted fault."""
         self._faults.append((at, kind))
 
     def signal(self, name: str) -> float:
-        """What conditions of the script look at, by its name in scenario files."""
+        """Returns a signal for the conditions of faults, by its name in scenario files."""
         return float(self.requested_count if name == "handed_in" else self._ends[name])
 
     def close(self, checker: InvariantChecker) -> None:
-        """The run is over."""
+        """Ends the run: stores the checker's counts, and adds open requests to the causes of loss."""
         self._broken_rules = Counter(checker.counts)
         if self.open_requests:
             self._causes["no end"] += self.open_requests
 
-    # What it comes to.
+    # Result.
 
     def result(self) -> JsonObject:
-        """The outcome, the same to the byte for the same scenario, seed and policy."""
+        """Returns the outcome, which is the same, byte for byte, for the same scenario, seed and policy."""
         windows = sorted(self._windows.items())
         scored = [
             rounded_ratio(window.value_delivered, window.value_requested)
--- a/ashpath/emulator/sender_process.py
+++ b/ashpath/emulator/sender_process.py
@@ -1,4 +1,4 @@
-"""One `ashpath serve` process, as a run on loopback or the demonstration starts and kills it."""
+"""One `ashpath serve` process of a run on loopback or of the demonstration."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class SenderProcess:
-    """A process on the configuration file, its output appended to the log; started again after a kill."""
+    """A process that appends its output to a log file, and that can be started again after a kill."""
 
     def __init__(
         self, configuration: Path, log: Path, address: tuple[str, int], limits: ServerLimits
@@ -31,13 +31,13 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Starts it; it is not ready yet."""
+        """Starts the process without waiting until it is ready."""
         command = [sys.executable, "-m", "ashpath.cli", "serve", str(self.configuration)]
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(command, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
 
     def is_ready(self) -> bool:
-        """Whether it accepts messages."""
+        """Returns whether the sender accepts messages."""
         try:
             response = self._client.request(b"GET %s HTTP/1.1" % wire_names.READINESS_PATH)
         except RequestError:
@@ -45,7 +45,10 @@
         return response.status == 200
 
     def wait_until_ready(self, timeout_s: float) -> None:
-        """Raises SenderStartError where it ends, or is not ready in time."""
+        """Waits until the sender is ready.
+
+        Raises SenderStartError if the process exits, or is not ready within `timeout_s`.
+        """
         deadline = monotonic() + timeout_s
         while not self.is_ready():
             if monotonic() > deadline or not self.is_running():
@@ -53,17 +56,17 @@
             gevent.sleep(READINESS_POLL_S)
 
     def is_running(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Returns whether the process was started and has not exited."""
         return self._process is not None and self._process.poll() is None
 
     def kill(self) -> None:
-        """Ends it without a graceful shutdown."""
+        """Kills the process without a graceful shutdown."""
         if self._process is not None and self._process.poll() is None:
             self._process.kill()
             self._process.wait()
 
     def stop(self) -> None:
-        """Has it shut down gracefully, and kills it where that takes too long."""
+        """Shuts the process down gracefully, and kills it after SHUTDOWN_TIMEOUT_S."""
         if self._process is None or self._process.poll() is not None:
             return
         self._process.terminate()
--- a/ashpath/emulator/stand_ins.py
+++ b/ashpath/emulator/stand_ins.py
@@ -1,4 +1,4 @@
-"""What stand-ins on loopback share: destinations, clients and agents that are not real."""
+"""Shared functions of stand-ins on loopback: emulated destinations, clients and agents."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 LOOPBACK = "127.0.0.1"
 PORT_RANGE = (10_000, 32_000)
-RANDOM = Random()  # runs side by side share the ports
+RANDOM = Random()  # unseeded, as concurrent runs share the range
 IDLE_TIMEOUT_MS = 60_000.0
 
 
 def stand_in_limits(descriptors: int, timeout_s: float) -> ServerLimits:
-    """Limits of stand-ins: they wait for a request, idle or half sent, as long as this."""
+    """Returns limits for stand-ins, which wait `timeout_s` for a request, idle or partly received."""
     settings = policy_settings(0, {"classes": [], "limits": {"conn-idle": IDLE_TIMEOUT_MS}})
     own = {"client_idle_s": timeout_s, "request_s": timeout_s}
     return ServerLimits.from_configuration({"sockets": descriptors, "own": own}, settings)
 
 
 def free_port() -> int:
-    """A port that nobody listens on just now, below those that the kernel gives to other connections."""
+    """Returns a port that is free now, below the kernel's range of ephemeral ports."""
     while True:
         port = RANDOM.randrange(*PORT_RANGE)
         with socket.socket() as probe, suppress(OSError):
--- a/ashpath/emulator/topology.py
+++ b/ashpath/emulator/topology.py
@@ -1,4 +1,4 @@
-"""The destinations and endpoints that a scenario makes, whichever clock plays it."""
+"""The destinations and endpoints of a scenario, in simulated time or on loopback."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Topology:
-    """Destinations by number, kinds in the order of the file, the busiest of each kind first."""
+    """Destinations by number: kinds in the order of the file, and the busiest of each kind first."""
 
     def __init__(self, scenario: Scenario, folder: Path, seed: int) -> None:
         self.destinations: list[DestinationModel] = []
@@ -39,19 +39,19 @@
                 self._separate_routes.append(group.limit_per_endpoint)
                 shares.append(group.traffic_share * ranks[rank] / sum(ranks))
         self.cumulative_shares = list(accumulate(shares))
-        """Of the traffic, by destination, added up."""
+        """Cumulative shares of the traffic, by destination."""
 
     def route(self, endpoint: str, destination: int) -> str:
-        """What a Retry-After holds for: the destination, or the endpoint where those are separate routes."""
+        """Returns the scope of a Retry-After: the destination, or the endpoint if it is a separate route."""
         return endpoint if self._separate_routes[destination] else str(destination)
 
     def destination_of(self, endpoint: str) -> int:
-        """The number of the destination that an endpoint, old or new, is of."""
+        """Returns the number of the destination of an endpoint, including replaced endpoints."""
         kind, rank, _ = endpoint.rsplit("-", 2)
         return self.kinds[kind][int(rank)]
 
     def destinations_of(self, fault: ScriptedFault, random: Random) -> list[int]:
-        """The destinations that a fault is for, as named and drawn."""
+        """Returns the numbers of a fault's destinations, as its targets and its share select them."""
         found: list[int] = []
         names = [name for name in fault.targets if not name.startswith(SENDER_PREFIX)]
         for name in names:
@@ -62,13 +62,13 @@
 
     @staticmethod
     def senders_of(fault: ScriptedFault, senders: int, random: Random) -> list[int]:
-        """The senders that a fault is for, as named and drawn."""
+        """Returns the numbers of a fault's senders, as its targets and its share select them."""
         named = [int(name[len(SENDER_PREFIX) :]) for name in fault.targets if name.startswith(SENDER_PREFIX)]
         return _drawn(fault, named or list(range(senders)), random)
 
 
 def successor_name(endpoint: str) -> str:
-    """The name of the endpoint that comes in place of another."""
+    """Returns the name of the endpoint that replaces another."""
     return f"{endpoint}+"
 
 
