--- a/tests/emulator/simulation/test_simulation_run.py
+++ b/tests/emulator/simulation/test_simulation_run.py
@@ -1,5 +1,4 @@
-"""A simulation with crippled policies: the invariant checker sees each rule broken, and a standstill ends
-it."""
+"""Simulations with defective policies: the checker detects each broken rule, and a stalled run ends."""
 
 from __future__ import annotations
 
@@ -49,9 +48,9 @@
 def test_checker_detects_each_broken_rule(policy: type[DeliveryPolicy], name: str, rule: str) -> None:
     checker = run(name, policy).checker
     assert checker.counts[rule], checker.counts
-    assert any(one.rule == rule for one in checker.violations)
+    assert any(violation.rule == rule for violation in checker.violations)
     if rule not in ("returning", "lost"):
-        assert next(one for one in checker.violations if one.rule == rule).events
+        assert next(violation for violation in checker.violations if violation.rule == rule).events
 
 
 def test_policy_that_repeats_timers_at_once_stops_simulation() -> None:
--- a/tests/emulator/test_invariant_checker.py
+++ b/tests/emulator/test_invariant_checker.py
@@ -1,4 +1,4 @@
-"""What the invariant checker makes of what it sees of one sender, and of collapses."""
+"""Violations that the invariant checker reports for events of one sender, and for collapses."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 AT_MOST_ONCE = TrafficClassSettings(
     1.0, 4 * SECOND, 20 * SECOND, RetrySafety.AT_MOST_ONCE, 0, True, 0.0, False
 )
-# What is seen of one sender, and the rules that are broken by it: T accepted, S attempt sent, E its outcome,
-# F final answer, W Retry-After received, O endpoint removed; times in milliseconds; `o` first: at most once.
+# Events of one sender, and the rules that they break: T accepted, S attempt sent, E its outcome, F final
+# answer, W Retry-After received, O endpoint removed. Times are in milliseconds. A leading `o` makes the
+# message at-most-once.
 OBSERVATIONS = """
     T0 S1 E9:completed                               ~
     T0 S1 E9:error F10:bounced                       ~
@@ -92,7 +93,7 @@
     checker.attempt_sent(1, 0, 1, "e", "7")
     checker.attempt_finished(1000, 0, 1, "reset", 1)
     checker.attempt_sent(2000, 0, 1, "e", "7")
-    assert not checker.counts, "its own retry does not wait until its key has settled"
+    assert not checker.counts, "a message's own retry must not wait until its key has settled"
     checker.attempt_finished(3000, 0, 1, "reset", 2000)
     checker.final_answer(3000, 0, 1, "aborted")
     checker.attempt_sent(100_000, 0, 2, "e", "7")
@@ -108,6 +109,6 @@
     checker.outage_began(0, 7)
     checker.attempt_finished(200_000, 0, 2, "timed out", 100_000)
     checker.collapsed(300_000, 7, Counter({0: 1, 1: 1}))
-    assert "returning" not in checker.counts, "half of the load came from a sender that had seen nothing"
+    assert "returning" not in checker.counts, "half of the load came from a sender that had seen no failure"
     checker.collapsed(300_000, 7, Counter({0: 2, 1: 1}))
     assert checker.counts == Counter(order=1, returning=1)
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs of scenarios: the same twice, the rules kept, the library's files, and the command."""
+"""Runs of scenarios: reproducibility, the rules, the scenario library and the command."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("name", SHORT_SCENARIOS)
 def test_delivery_policy_keeps_rules_and_scores_near_oracle(name: str) -> None:
-    """No rule broken, every request has its end, and the score is not far below the oracle's."""
+    """The policy breaks no rule, every request ends, and G is at most 0.06 below that of the oracle."""
     ours, best = (simulate(scenario_path(name), 2, policy).result for policy in ("module", "oracle"))
     assert not ours["rules"]
     assert sum(ours["ends"].values()) == ours["handed_in"]
