--- a/ashpath/emulator/invariant_checker.py
+++ b/ashpath/emulator/invariant_checker.py
@@ -38,7 +38,8 @@
     """Checks the events of all senders of one run.
 
     Entries of `_messages` and `_queues` are removed when messages have ended. `_removed`, `_retry_after` and
-    `_informed_senders` keep an entry for each endpoint or destination that a sender was notified of.
+    `_informed_senders` keep an entry for each endpoint or destination that a sender was notified of, as long
+    as the run lasts.
     """
 
     def __init__(self, grace: int, settle_time: int, watched: str = "", retry_after_slack: int = 0) -> None:
@@ -49,7 +50,7 @@
         self._grace = grace
         self._settle_time = settle_time
         self._watched = watched
-        # Calls sent this soon after a Retry-After were under way when it arrived.
+        # Calls this soon after a Retry-After were already under way when it was sent.
         self._retry_after_slack = retry_after_slack
         self._messages: dict[tuple[int, int], WatchedMessage] = {}  # by sender and number at that sender
         self._queues: dict[tuple[int, int], OrderedQueue] = {}  # by sender and key
