--- a/tests/emulator/simulation/test_simulation_run.py
+++ b/tests/emulator/simulation/test_simulation_run.py
@@ -54,5 +54,6 @@
 
 
 def test_policy_that_repeats_timers_at_once_stops_simulation() -> None:
+    """A policy that schedules each timer again for the current time must not make a run endless."""
     with pytest.raises(SimulationStalledError):
         run("calm", RestlessPolicy)
--- a/tests/emulator/test_invariant_checker.py
+++ b/tests/emulator/test_invariant_checker.py
@@ -105,6 +105,7 @@
 
 
 def test_collapse_is_attributed_to_senders_that_saw_failures() -> None:
+    """Senders break the rule only if those that saw the outage sent two thirds of the load or more."""
     checker = checker_with_settling_key()
     checker.outage_began(0, 7)
     checker.attempt_finished(200_000, 0, 2, "timed out", 100_000)
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -62,6 +62,7 @@
 
 
 def test_same_scenario_and_seed_give_the_same_bytes() -> None:
+    """The outcome file must not depend on the number of processes, the clock or state of earlier runs."""
     path = scenario_path("pile")
     scenario = read_scenario(path)
     played = [list(simulate_all(path, [1, 2, 3], ["module", "retries"], jobs)) for jobs in (1, 1, 3)]
