--- a/ashpath/emulator/baselines/oracle.py
+++ b/ashpath/emulator/baselines/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle: a policy that sees what none can see. What it comes to is nearly what could be reached."""
+"""The oracle: a policy that reads the true state of the simulation, so that its score is near the optimum."""
 
 from __future__ import annotations
 
@@ -11,52 +11,53 @@
 from ashpath.emulator.policy_under_test import GlobalView
 from ashpath.emulator.units import SECOND
 
-OUTAGE_POLL = SECOND // 10
-BUSY_POLL = SECOND // 40
-MOST_COMPARED = 30  # messages from the head of the queue
-COLLAPSE_SHARE = 0.8  # of the load that makes a destination collapse
-SLOW_START_FACTOR = 1.5  # of the workers that its speed would keep busy
+OUTAGE_POLL = SECOND // 10  # microseconds between checks of an unreachable destination
+BUSY_POLL = SECOND // 40  # microseconds between checks of a destination without free capacity
+MAX_COMPARED_MESSAGES = 30  # messages from the head of the queue
+COLLAPSE_SHARE = 0.8  # share of the load that makes a recovering destination collapse
+SLOW_START_FACTOR = 1.5  # ratio of allowed calls to the workers that a destination in slow start keeps busy
 
 
 class Oracle(Baseline):
-    """Sees each destination as it truly is, and what all senders have in flight."""
+    """Reads the true state of each destination, and the calls in flight of all senders."""
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions, view: GlobalView) -> None:
         super().__init__(settings, actions, view)
-        # Attempts of this batch, by destination: not yet on their way, as actions are carried out after it.
+        # Attempts of this batch by destination. The global view does not count them, as actions run after the
+        # batch.
         self.sent_in_batch: dict[int, int] = {}
 
     def begin_batch(self, now: int) -> None:
-        """Opens a batch of events at this moment."""
+        """Begins a batch of events at time `now`, in microseconds."""
         super().begin_batch(now)
         self.sent_in_batch = {}
 
     def send(self, destination: DestinationState, message: QueuedMessage) -> None:
-        """Starts an attempt, and counts it."""
+        """Starts an attempt, and counts it for the batch."""
         number = destination.number
         self.sent_in_batch[number] = self.sent_in_batch.get(number, 0) + 1
         super().send(destination, message)
 
     def admits(self, destination: DestinationState) -> bool:
-        """As long as the destination has workers, is not pushed over, and has quota left."""
+        """Returns whether the destination is reachable, has capacity and quota, and is not near collapse."""
         number = destination.number
         model = self.view.destination(number)
         if model.in_outage() or model.is_unresponsive(self.now) or self.view.is_split(self.number, number):
-            self.check_later(destination, OUTAGE_POLL)
+            self.schedule_dispatch(destination, OUTAGE_POLL)
             return False
         if not self._has_capacity(number, model):
-            self.check_later(destination, BUSY_POLL)
+            self.schedule_dispatch(destination, BUSY_POLL)
             return False
         return True
 
     def _has_capacity(self, number: int, model: DestinationModel) -> bool:
         properties = model.properties
-        mine = self.sent_in_batch.get(number, 0)
-        on_the_way = self.view.calls_on_the_way(number) + mine
+        own_calls = self.sent_in_batch.get(number, 0)
+        on_the_way = self.view.calls_on_the_way(number) + own_calls
         speed = model.speed(self.now)
         endpoints = 1 if properties.shares_workers else max(1, len(model.endpoints))
         workers = properties.workers * endpoints * min(1.0, SLOW_START_FACTOR * speed)
-        if self.view.calls_in_flight(number) + mine >= max(1.0, workers) + endpoints:
+        if self.view.calls_in_flight(number) + own_calls >= max(1.0, workers) + endpoints:
             return False
         if speed < 1:
             allowed = (
@@ -67,9 +68,9 @@
                 return False
         return model.rate_limit.available(self.now) - on_the_way >= 1
 
-    def next(self, destination: DestinationState) -> QueuedMessage:
-        """Of the first that came, the one that is worth most while it is in time."""
-        return max(islice(destination.queue, MOST_COMPARED), key=self._value)
+    def next_message(self, destination: DestinationState) -> QueuedMessage:
+        """Returns the most valuable of the first MAX_COMPARED_MESSAGES messages in the queue."""
+        return max(islice(destination.queue, MAX_COMPARED_MESSAGES), key=self._value)
 
     def _value(self, message: QueuedMessage) -> float:
         settings = self.settings.traffic_classes[message.traffic_class]
--- a/ashpath/emulator/policies.py
+++ b/ashpath/emulator/policies.py
@@ -1,9 +1,9 @@
-"""The policies that a scenario can be played with, by the names of the command line and of outcome files."""
+"""The policies that a scenario can run with, by their names on the command line and in outcome files."""
 
 from __future__ import annotations
 
 from ashpath.core.interface import PolicyActions, PolicySettings
-from ashpath.emulator.baselines.limits import Backoff, BreakerAlone, FixedLimit, Gradient
+from ashpath.emulator.baselines.limits import Backoff, BreakerOnly, FixedLimit, Gradient
 from ashpath.emulator.baselines.oracle import Oracle
 from ashpath.emulator.policy_under_test import GlobalView, PolicyFactory, PolicyUnderTest
 from ashpath.policy.delivery_policy import DeliveryPolicy
@@ -12,7 +12,7 @@
 
 
 def delivery_policy(settings: PolicySettings, actions: PolicyActions, _: GlobalView, /) -> PolicyUnderTest:
-    """The policy that senders run."""
+    """Creates the delivery policy that real senders run."""
     return DeliveryPolicy(settings, actions)
 
 
@@ -20,7 +20,7 @@
     DELIVERY_POLICY: delivery_policy,
     "fixed": FixedLimit,
     "retries": Backoff,
-    "breaker": BreakerAlone,
+    "breaker": BreakerOnly,
     "gradient": Gradient,
     "oracle": Oracle,
 }
--- a/ashpath/emulator/simulation/event_queue.py
+++ b/ashpath/emulator/simulation/event_queue.py
@@ -1,5 +1,7 @@
-"""The clock of a simulation and its events: the standard library's heap, by time, then in order of
-scheduling."""
+"""The clock and the event queue of a simulation.
+
+The queue is a heap of the standard library, ordered by time, then by the order of scheduling.
+"""
 
 from __future__ import annotations
 
@@ -9,47 +11,48 @@
 from ashpath.emulator.errors import SimulationStalledError
 from ashpath.emulator.units import SECOND
 
-MOST_EVENTS_OF_ONE_MOMENT = 500_000
+MAX_EVENTS_AT_ONE_TIME = 500_000
 
 Progress = Callable[[float], None]
-"""Called with the share of the run that has passed."""
+"""Callback that receives the elapsed share of the run, from 0 to 1."""
 
-# A plain tuple, as the heap compares two of them without a call into Python: by time, then by number.
+# The heap compares plain tuples by time, then by number, without calling Python code.
 _Event = tuple[int, int, Callable[..., None], tuple[object, ...]]
 
 
 class EventQueue:
-    """Events to come; `now` is the time of the one that is carried out, in microseconds."""
+    """Future events. `now` is the time of the event being processed, in microseconds."""
 
     def __init__(self) -> None:
         self.now = 0
         self._heap: list[_Event] = []
         self._scheduled = 0
 
-    def schedule(self, at: int, call: Callable[..., None], *arguments: object) -> None:
-        """Calls it at this time, or at once if that has passed."""
+    def schedule(self, at: int, callback: Callable[..., None], *arguments: object) -> None:
+        """Schedules a callback for time `at`, or for the current time if `at` has passed."""
         self._scheduled += 1
-        heappush(self._heap, (at if at > self.now else self.now, self._scheduled, call, arguments))
+        heappush(self._heap, (at if at > self.now else self.now, self._scheduled, callback, arguments))
 
     def run(
-        self, end: int, last: int, has_open_requests: Callable[[], bool], progress: Progress | None
+        self, end: int, latest_end: int, has_open_requests: Callable[[], bool], progress: Progress | None
     ) -> None:
-        """Runs to `end`, and on to `last` at most while requests are open.
+        """Processes events up to `end`, and up to `latest_end` while requests are open.
 
-        Raises SimulationStalledError.
+        Raises SimulationStalledError if more than MAX_EVENTS_AT_ONE_TIME events follow without the clock
+        advancing.
         """
         heap = self._heap
-        shown = 0
-        in_one_moment = 0
+        last_progress_at = 0
+        events_at_this_time = 0
         while heap:
-            at, _, call, arguments = heappop(heap)
-            if at > last or (at > end and not has_open_requests()):
+            at, _, callback, arguments = heappop(heap)
+            if at > latest_end or (at > end and not has_open_requests()):
                 return
-            in_one_moment = in_one_moment + 1 if at == self.now else 0
-            if in_one_moment > MOST_EVENTS_OF_ONE_MOMENT:
-                raise SimulationStalledError(at, MOST_EVENTS_OF_ONE_MOMENT)
+            events_at_this_time = events_at_this_time + 1 if at == self.now else 0
+            if events_at_this_time > MAX_EVENTS_AT_ONE_TIME:
+                raise SimulationStalledError(at, MAX_EVENTS_AT_ONE_TIME)
             self.now = at
-            call(*arguments)
-            if progress is not None and at - shown > SECOND:
-                shown = at
+            callback(*arguments)
+            if progress is not None and at - last_progress_at > SECOND:
+                last_progress_at = at
                 progress(min(1.0, at / end))
--- a/ashpath/emulator/simulation/faults.py
+++ b/ashpath/emulator/simulation/faults.py
@@ -1,5 +1,4 @@
-"""The script of a scenario: puts faults on when their time comes or their condition holds, and takes them
-off."""
+"""Injects the faults of a scenario, each at its time or when its condition is met, and reverts them."""
 
 from __future__ import annotations
 
@@ -19,15 +18,15 @@
 from ashpath.emulator.topology import Topology
 from ashpath.emulator.units import SECOND
 
-CONDITION_POLL = SECOND // 10  # microseconds between two looks at a condition
-MILLISECOND = 1000
+CONDITION_POLL = SECOND // 10  # microseconds between two checks of a condition
+MILLISECOND = 1000  # microseconds
 
 Undo = Callable[[], None]
-"""Takes a fault off again."""
+"""Reverts a fault."""
 
 
 class FaultScript:
-    """Plays the faults of a scenario."""
+    """Injects the faults of a scenario into the parts of a simulation."""
 
     def __init__(
         self,
@@ -50,7 +49,7 @@
         self._arrivals = arrivals
         self._checker = checker
         self._scoreboard = scoreboard
-        self._senders_faults: dict[str, Callable[[ScriptedFault, list[int]], Undo | None]] = {
+        self._fault_handlers: dict[str, Callable[[ScriptedFault, list[int]], Undo | None]] = {
             "kill": self._kill,
             "split": self._split,
             "clock": self._shift_clocks,
@@ -60,20 +59,20 @@
         }
 
     def schedule(self, fault: ScriptedFault) -> None:
-        """Before the run: the fault begins at its time, or as soon as its condition holds."""
+        """Schedules the start of a fault, before the run, at its time or when its condition is first met."""
         if fault.condition:
             condition = parse_condition(fault.condition)
             assert condition is not None
-            self._events.schedule(CONDITION_POLL, self._check, fault, condition)
+            self._events.schedule(CONDITION_POLL, self._check_condition, fault, condition)
         else:
             assert fault.at is not None
             self._events.schedule(int(fault.at), self._begin, fault)
 
-    def _check(self, fault: ScriptedFault, condition: FaultCondition) -> None:
+    def _check_condition(self, fault: ScriptedFault, condition: FaultCondition) -> None:
         if condition.is_met(self._signal(condition.signal)):
             self._begin(fault)
         elif self._events.now < self._arrivals.end:
-            self._events.schedule(self._events.now + CONDITION_POLL, self._check, fault, condition)
+            self._events.schedule(self._events.now + CONDITION_POLL, self._check_condition, fault, condition)
 
     def _signal(self, name: str) -> float:
         if name == "held":
@@ -92,11 +91,11 @@
             undo = self._begin_at_destinations(fault)
         else:
             senders = self._topology.senders_of(fault, len(self._fleet.senders), self._random)
-            undo = self._senders_faults[fault.kind](fault, senders)
+            undo = self._fault_handlers[fault.kind](fault, senders)
         if undo is not None and fault.duration:
             self._events.schedule(self._events.now + int(fault.duration), undo)
 
-    # Faults of destinations.
+    # Faults at destinations.
 
     def _begin_at_destinations(self, scripted: ScriptedFault) -> Undo:
         fault = Fault(scripted.kind)
@@ -116,7 +115,7 @@
         destination.add_fault(fault, amount)
         if fault in OUTAGE_FAULTS and not was_in_outage:
             self._checker.outage_began(self._events.now, number)
-        if fault is Fault.DOWN:  # what is open there is reset
+        if fault is Fault.DOWN:  # idle connections to the destination are reset
             for sender in self._fleet.senders:
                 for endpoint in destination.endpoints:
                     sender.idle_connections.close(endpoint)
@@ -125,9 +124,9 @@
         destination = self._network.destination(number)
         destination.remove_fault(fault, amount, self._events.now)
         if not destination.in_outage():
-            self._network.recovery.schedule_check(number, self._events.now)
+            self._network.recovery.schedule_recovery_check(number, self._events.now)
 
-    # Faults of senders, clients, discovery and network.
+    # Faults at senders, clients, service discovery and the network.
 
     def _kill(self, _: ScriptedFault, numbers: list[int]) -> Undo:
         senders = [self._fleet.senders[number] for number in numbers]
@@ -156,10 +155,10 @@
             self._fleet.senders[number].clock_error += int(fault.amount * MILLISECOND)
 
     def _scale_traffic(self, fault: ScriptedFault, _: list[int]) -> Undo:
-        self._arrivals.factor *= fault.amount
+        self._arrivals.rate_factor *= fault.amount
 
         def undo() -> None:
-            self._arrivals.factor = self._arrivals.factor / fault.amount
+            self._arrivals.rate_factor = self._arrivals.rate_factor / fault.amount
 
         return undo
 
--- a/ashpath/emulator/simulation/run.py
+++ b/ashpath/emulator/simulation/run.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a simulation together, and runs one scenario from its first arrival to its last end."""
+"""Assembles a simulation, and runs one scenario from its first arrival until all requests have ended."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from ashpath.emulator.topology import Topology
 from ashpath.emulator.units import SECOND
 
-MOST_AFTER_DEADLINE = 10 * SECOND
-"""A run goes on so long past the last deadline at most."""
+MAX_TIME_AFTER_DEADLINE = 10 * SECOND
+"""Microseconds for which a run may continue after the last deadline."""
 
 
 class Simulation:
-    """One run of one scenario; `scenario_folder` is where the files are that the scenario names."""
+    """One run of a scenario. `scenario_folder` has the files that the scenario names."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         self.checker = InvariantChecker(self._settings.drain_grace, self._settings.settle_time, watched)
         self._events = EventQueue()
         self._topology = Topology(scenario, scenario_folder, seed)
-        self._arrivals = Arrivals(scenario, self._topology.shares, seed)
+        self._arrivals = Arrivals(scenario, self._topology.cumulative_shares, seed)
         self.network = self._make_network()
         self._fleet = Fleet(self._events, scenario.fleet)
         self._clients = self._make_clients()
-        random = Random(f"{seed} world")  # discovery delays first, then the faults as they begin
+        random = Random(f"{seed} world")  # draws discovery delays first, then targets of faults as they begin
         delays = [draw_discovery_delay(scenario.discovery, random) for _ in range(scenario.fleet.senders)]
         self._start_senders(policy_factory)
         self._schedule_faults(SimulatedDiscovery(self._events, self.network, self._fleet, delays), random)
@@ -117,16 +117,16 @@
             script.schedule(fault)
 
     def run(self, progress: Progress | None = None) -> None:
-        """To the end of the arrivals, and on until all requests have their ends.
+        """Runs to the end of the arrivals, and then until all requests have ended.
 
-        Raises SimulationStalledError.
+        Raises SimulationStalledError if a policy keeps scheduling timers for the current time.
         """
         end = self._arrivals.end
-        longest = max(traffic_class.deadline for traffic_class in self._settings.traffic_classes)
-        last = end + longest + MOST_AFTER_DEADLINE
+        longest_deadline = max(traffic_class.deadline for traffic_class in self._settings.traffic_classes)
+        latest_end = end + longest_deadline + MAX_TIME_AFTER_DEADLINE
         with _frozen_objects():
             self._clients.start()
-            self._events.run(end, last, self.scoreboard.has_open_requests, progress)
+            self._events.run(end, latest_end, self.scoreboard.has_open_requests, progress)
         self.checker.run_ended(self._events.now)
         check_effects(
             self.checker, self._events.now, self._topology.destinations, self._settings.traffic_classes
@@ -136,8 +136,10 @@
 
 @contextmanager
 def _frozen_objects() -> Iterator[None]:
-    """What lives for the whole run is not walked by each garbage collection: with 300 senders that costs
-    most."""
+    """Excludes the objects that live for the whole run from garbage collection.
+
+    With 300 senders, traversing them in each collection is the largest cost.
+    """
     gc.collect()
     gc.freeze()
     try:
--- a/tests/emulator/simulation/test_simulation_run.py
+++ b/tests/emulator/simulation/test_simulation_run.py
@@ -1,5 +1,4 @@
-"""A simulation with crippled policies: the invariant checker sees each rule broken, and a standstill ends
-it."""
+"""Simulations with defective policies: the checker detects each broken rule, and a stalled run ends."""
 
 from __future__ import annotations
 
@@ -23,7 +22,7 @@
 from ashpath.emulator.simulation.run import Simulation
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
-CRIPPLED = [
+DEFECTIVE_POLICIES = [
     (ForgetfulPolicy, "large-silent", "lost"),
     (RepeatingPolicy, "errors-behind", "doubled"),
     (LingeringPolicy, "replaced", "drain"),
@@ -45,15 +44,16 @@
     return simulation
 
 
-@pytest.mark.parametrize(("policy", "name", "rule"), CRIPPLED)
-def test_checker_sees_each_rule_broken(policy: type[DeliveryPolicy], name: str, rule: str) -> None:
+@pytest.mark.parametrize(("policy", "name", "rule"), DEFECTIVE_POLICIES)
+def test_checker_detects_each_broken_rule(policy: type[DeliveryPolicy], name: str, rule: str) -> None:
     checker = run(name, policy).checker
     assert checker.counts[rule], checker.counts
-    assert any(one.rule == rule for one in checker.broken)
+    assert any(violation.rule == rule for violation in checker.violations)
     if rule not in ("returning", "lost"):
-        assert next(one for one in checker.broken if one.rule == rule).story
+        assert next(violation for violation in checker.violations if violation.rule == rule).events
 
 
-def test_policy_that_stands_still_ends_the_run() -> None:
+def test_policy_that_repeats_timers_at_once_stops_simulation() -> None:
+    """A policy that schedules each timer again for the current time must not make a run endless."""
     with pytest.raises(SimulationStalledError):
         run("calm", RestlessPolicy)
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs of scenarios: the same twice, the rules kept, the library's files, and the command."""
+"""Runs of scenarios: reproducibility, the rules, the scenario library and the command."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 from ashpath.emulator.scenario.loading import read_scenario
 
-SHORT = [
+SHORT_SCENARIOS = [
     "calm",
     "burst",
     "silent-bank",
@@ -35,16 +35,16 @@
 ]
 
 
-@pytest.mark.parametrize("name", SHORT)
-def test_delivery_policy_keeps_the_rules(name: str) -> None:
-    """No rule broken, every request has its end, and the score is not far below the oracle's."""
+@pytest.mark.parametrize("name", SHORT_SCENARIOS)
+def test_delivery_policy_keeps_rules_and_scores_near_oracle(name: str) -> None:
+    """The policy breaks no rule, every request ends, and G is at most 0.06 below that of the oracle."""
     ours, best = (simulate(scenario_path(name), 2, policy).result for policy in ("module", "oracle"))
     assert not ours["rules"]
     assert sum(ours["ends"].values()) == ours["handed_in"]
     assert ours["g"] >= best["g"] - 0.06, (ours["g"], best["g"])
 
 
-def test_scenarios_of_the_library(capsys: pytest.CaptureFixture[str]) -> None:
+def test_scenarios_in_library_are_valid(capsys: pytest.CaptureFixture[str]) -> None:
     found = sorted(SCENARIO_LIBRARY.glob("*.toml"))
     wide = [
         path
@@ -62,6 +62,7 @@
 
 
 def test_same_scenario_and_seed_give_the_same_bytes() -> None:
+    """The outcome file must not depend on the number of processes, the clock or state of earlier runs."""
     path = scenario_path("pile")
     scenario = read_scenario(path)
     played = [list(simulate_all(path, [1, 2, 3], ["module", "retries"], jobs)) for jobs in (1, 1, 3)]
@@ -77,7 +78,7 @@
     assert rows[0]["rules_broken"] == 0
 
 
-def test_command(tmp_path: Path) -> None:
+def test_simulate_command_reports_results_and_input_errors(tmp_path: Path) -> None:
     alone = Alone(tmp_path)
     try:
         file = tmp_path / "out.json"
