--- a/ashpath/bench_adapter/policy_instance.py
+++ b/ashpath/bench_adapter/policy_instance.py
@@ -92,19 +92,19 @@
         if trace and trace.tb_frame.f_globals.get("__name__") == __name__:
             text = f"malformed event: {type(error).__name__} {error}"
             raise MalformedBatchError(text) from error
-        where = f"{trace.tb_frame.f_code.co_name}:{trace.tb_lineno}" if trace else "?"
-        self.actions.report_fault(f"{type(error).__name__}: {error} in {where}")
+        location = f"{trace.tb_frame.f_code.co_name}:{trace.tb_lineno}" if trace else "?"
+        self.actions.report_fault(f"{type(error).__name__}: {error} in {location}")
 
     def _submitted(self, body: SubmittedBody) -> None:
-        left = microseconds(body["ttl"])
-        self.policy.submit(body["rid"], body["addressee-no"], body["priority"], body.get("key"), left)
+        time_left = microseconds(body["ttl"])
+        self.policy.submit(body["rid"], body["addressee-no"], body["priority"], body.get("key"), time_left)
 
     def _attempt_finished(self, body: AttemptFinishedBody) -> None:
         retry_after = microseconds(body.get("remark-ms")) if body["outcome"] == OVERLOADED else 0
         stats = body.get("stats")
         report = self._load_report(stats) if stats else None
-        finished = bool(body.get("complete"))
-        self.policy.attempt_finished(body["rid"], OUTCOMES[body["outcome"]], retry_after, finished, report)
+        final = bool(body.get("complete"))
+        self.policy.attempt_finished(body["rid"], OUTCOMES[body["outcome"]], retry_after, final, report)
 
     def _load_report(self, values: list[float]) -> LoadReport | None:
         if not self.report_fields:
--- a/ashpath/cli/status_client.py
+++ b/ashpath/cli/status_client.py
@@ -67,8 +67,8 @@
         try:
             connection.request(method, path, body, headers or {})
             response = connection.getresponse()
-            names = {name.lower(): value for name, value in response.getheaders()}
-            return StatusResponse(response.status, names, response.read())
+            received = {name.lower(): value for name, value in response.getheaders()}
+            return StatusResponse(response.status, received, response.read())
         except (OSError, HTTPException) as error:
             reason = getattr(error, "strerror", None) or str(error) or type(error).__name__
             raise SenderUnreachableError(self.url, reason) from error
--- a/ashpath/config/platform_form.py
+++ b/ashpath/config/platform_form.py
@@ -193,8 +193,8 @@
 
     Defaults are included.
     """
-    rows = {field.encode_name: getattr(table, field.name) for field in msgspec.structs.fields(table)}
-    return {name: file_value(row) for name, row in rows.items() if row is not None}
+    values = {field.encode_name: getattr(table, field.name) for field in msgspec.structs.fields(table)}
+    return {name: file_value(value) for name, value in values.items() if value is not None}
 
 
 def file_value(value: object) -> object:
@@ -202,9 +202,9 @@
     if isinstance(value, msgspec.Struct):
         return file_document(value)
     if isinstance(value, dict):
-        return {str(name): file_value(row) for name, row in value.items()}
+        return {str(name): file_value(item) for name, item in value.items()}
     if isinstance(value, list):
-        return [file_value(row) for row in value]
+        return [file_value(item) for item in value]
     if isinstance(value, Duration):
         return format_amount(value, TIMES)
     return format_amount(value, SIZES) if isinstance(value, Size) else value
--- a/ashpath/emulator/soak/clients.py
+++ b/ashpath/emulator/soak/clients.py
@@ -41,7 +41,7 @@
         self._random = random
         self._limits = limits
         self._idle: list[HttpConnection] = []
-        self._idle_clients: list[HttpConnection] = []
+        self._silent_connections: list[HttpConnection] = []
         self._number = 0
 
     def run(self) -> None:
@@ -54,7 +54,7 @@
         """Opens up to `count` connections that send no request."""
         for _ in range(count):
             try:
-                self._idle_clients.append(open_connection(self.address, self._limits))
+                self._silent_connections.append(open_connection(self.address, self._limits))
             except OSError:
                 return
 
--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -65,11 +65,11 @@
     a = scenario.messages[scenario.ids["a"]]
     b = scenario.messages[scenario.ids["b"]]
     scenario.policy.begin_batch(scenario.now)
-    for at, name in enumerate(names):
+    for index, name in enumerate(names):
         if name == "disconnect" and b.finished:
             continue  # b has its final answer: its client cannot disconnect any more
         update_checker(scenario, a, name)
-        if name == "list" and "detach" not in names[:at]:
+        if name == "list" and "detach" not in names[:index]:
             scenario.draining_since.pop("x1", None)
         EVENTS[name](scenario)(scenario.policy)
     scenario.policy.end_batch()
