--- a/ashpath/bench_adapter/policy_instance.py
+++ b/ashpath/bench_adapter/policy_instance.py
@@ -33,7 +33,7 @@
 
 
 class PolicyInstance:
-    """One instance; it ignores all events after an exception of its policy."""
+    """One sender instance. After an exception of its policy, the instance ignores all events."""
 
     def __init__(self, seed: int, settings: Row, endpoint_lists: EndpointLists) -> None:
         self.actions = RecordedActions()
@@ -41,7 +41,8 @@
         self.failed = False
         self.report_fields = load_report_fields(settings)
         self.policy = DeliveryPolicy(policy_settings(seed, settings), self.actions)
-        self.handlers: dict[str, Callable[[Any], None]] = {  # raise KeyError if a field is missing
+        # By event name. Each handler raises KeyError if its event lacks a field.
+        self.handlers: dict[str, Callable[[Any], None]] = {
             EventName.SUBMITTED: self._submitted,
             EventName.ATTEMPT_FINISHED: self._attempt_finished,
             EventName.TIMER_FIRED: self._timer_fired,
--- a/ashpath/cli/status_client.py
+++ b/ashpath/cli/status_client.py
@@ -18,7 +18,7 @@
     SUBMIT_PATH,
 )
 
-RESPONSE_TIMEOUT_S = 5.0  # for a response
+RESPONSE_TIMEOUT_S = 5.0
 DEFAULT_PORT = 80
 STATUS_API_ABSENT = "the sender has no status API; only standalone senders do"
 INVALID_URL = "not the URL of a sender, expected http://HOST:PORT"
@@ -35,7 +35,7 @@
 
     @property
     def retry_after_s(self) -> float | None:
-        """The value of Retry-After in seconds, or None if the response has none that can be read."""
+        """The value of Retry-After in seconds, or None if the header is absent or not a number."""
         try:
             return float(self.headers[RETRY_AFTER_HEADER.decode()])
         except (KeyError, ValueError):
@@ -62,7 +62,7 @@
     def request(
         self, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
     ) -> StatusResponse:
-        """Sends a request and returns the response. Raises SenderUnreachableError."""
+        """Sends a request and returns the response. Raises SenderUnreachableError if none arrives."""
         connection = HTTPConnection(self.host, self.port, timeout=RESPONSE_TIMEOUT_S)
         try:
             connection.request(method, path, body, headers or {})
@@ -76,11 +76,14 @@
             connection.close()
 
     def submit(self, headers: dict[str, str], body: bytes) -> StatusResponse:
-        """Submits a message. Raises SenderUnreachableError."""
+        """Submits a message. Raises SenderUnreachableError if no response arrives."""
         return self.request("POST", SUBMIT_PATH.decode(), body, headers)
 
     def message_state(self, trace_id: str) -> JsonObject | None:
-        """Returns the state of a message, or None if the sender does not know it. Raises CommandError."""
+        """Returns the state of a message, or None if the response is not 200, as for an unknown message.
+
+        Raises CommandError.
+        """
         response = self.request("GET", MESSAGE_PATH_PREFIX.decode() + quote(trace_id, safe=""))
         return self.decode_json(response) if response.status == 200 else None
 
@@ -104,7 +107,7 @@
             after = page["next"]
 
     def decode_json(self, response: StatusResponse) -> JsonObject:
-        """Returns the JSON of a response. Raises CommandError if it is no JSON or the status is not 200."""
+        """Returns the JSON of a response. Raises CommandError if it is not JSON or the status is not 200."""
         if response.status == 404:
             raise CommandError(self.url, STATUS_API_ABSENT)
         try:
--- a/ashpath/config/platform_form.py
+++ b/ashpath/config/platform_form.py
@@ -64,7 +64,7 @@
 
 
 def platform_settings(configuration: Configuration) -> PlatformSettings:
-    """Returns the settings of the sender."""
+    """Returns the settings of the sender. Times are milliseconds."""
     rules = configuration.rules
     zones = zone_names(configuration)
     costs = {str(name): zone.cost for name, zone in configuration.zones.items() if zone.cost}
@@ -105,7 +105,7 @@
 
 
 def platform_limits(configuration: Configuration) -> PlatformLimits:
-    """Returns the limits that the sender keeps."""
+    """Returns the limits that the sender observes."""
     rules = configuration.rules
     return PlatformLimits(
         queue_capacity=configuration.limits.queue_capacity,
@@ -145,8 +145,8 @@
         "notification_files": configuration.notifications.kept_files,
     }
     if configuration.platform is None:
-        # The file is the complete endpoint list, so no successor is listed late: a destination without
-        # endpoints is forgotten at once.
+        # The file is the complete endpoint list, so no replacement endpoint is listed late: a destination
+        # without endpoints is forgotten at once.
         own["forget_destination_s"] = 0.0
     if limits.idle_client_connections:
         own["idle_client_connections"] = limits.idle_client_connections
@@ -189,9 +189,9 @@
 
 
 def file_document(table: msgspec.Struct) -> JsonObject:
-    """Returns a configuration, or a table of it, in the form of the file, for callers that write one.
+    """Returns a configuration, or a table of it, in the form of the sender's own file.
 
-    Defaults are included.
+    Defaults are included; fields that are None are left out.
     """
     values = {field.encode_name: getattr(table, field.name) for field in msgspec.structs.fields(table)}
     return {name: file_value(value) for name, value in values.items() if value is not None}
--- a/ashpath/core/messages.py
+++ b/ashpath/core/messages.py
@@ -44,7 +44,7 @@
 
     started_at: int
     zone: int
-    """-1: unknown."""
+    """The zone of the endpoint; -1: unknown."""
 
 
 class Endpoint(Struct, eq=False, kw_only=True):
@@ -63,7 +63,7 @@
     """The mean duration of deliveries in microseconds; 0: none yet."""
     failure_share: float = 0.0
     """The share of failures among recent calls."""
-    fast_successes: int = 0
+    fast_successes: int = 0  # deliveries that took less than half of their time-out
 
     def delivered(self, duration: int, *, fast: bool, gain: float) -> None:
         """Adds a success to the statistics with weight `gain`; `duration` is in microseconds."""
@@ -90,7 +90,7 @@
     outcome_applied: bool = False
     """The gate has been updated with the outcome of the call."""
     duration_bound: int = 0
-    """Microseconds that nearly all calls stay below; a call that takes longer is overdue."""
+    """Microseconds within which nearly all calls end; a call that takes longer is overdue."""
     expected_fast_successes: int = 0
     """The fast successes of the endpoint if all calls in flight at the start of this one succeed fast."""
     is_trial: bool = False
--- a/ashpath/core/outage_state.py
+++ b/ashpath/core/outage_state.py
@@ -2,8 +2,9 @@
 
 | from | event | to |
 | --- | --- | --- |
-| available, recovering | the policy detects an outage | down |
-| down | a delivery, a gossip message about one, or an operator reattaches the endpoint | recovering |
+| available, recovering | the policy detects an outage, or restores one of a previous incarnation | down |
+| down | a delivery, or a gossip message about another sender's delivery | recovering |
+| any | an operator reattaches the endpoint | recovering |
 | recovering | the warm-up time has elapsed | available |
 """
 
--- a/ashpath/core/waiting_queues.py
+++ b/ashpath/core/waiting_queues.py
@@ -12,8 +12,8 @@
 class WaitingQueues:
     """Two queues per traffic class: messages that can meet their latency objective, and late ones.
 
-    Both queues are in order of arrival. `durations` has statistics of the class's deliveries to this
-    destination, in microseconds; `min_gain` is the minimum weight of a new delivery.
+    Messages join the end of a queue, and retries join the front. `durations` has statistics of the class's
+    deliveries to this destination, in microseconds; `min_gain` is the minimum weight of a new delivery.
     """
 
     def __init__(self, state: SenderState, min_gain: float) -> None:
--- a/ashpath/emulator/loopback/client_process.py
+++ b/ashpath/emulator/loopback/client_process.py
@@ -37,7 +37,7 @@
 REQUEST_TIMEOUT_S = 600.0
 RESPONSE_TIMEOUT_S = 2.0
 RETRY_INTERVAL_S = 0.1  # before a client whose sender does not respond tries another sender
-MIN_TIME_LEFT = 1000  # microseconds before the deadline; with less left, a request is not submitted
+MIN_TIME_LEFT = 1000  # microseconds; with no more left until its deadline, a request is not submitted
 FOREVER_S = 1e9
 SUBMIT = b"POST %s HTTP/1.1" % wire_names.SUBMIT_PATH
 ACCEPTED = (200, 202)
@@ -76,7 +76,7 @@
 
 
 class Clients:
-    """Submits the requests of a job. `_open` has the messages that may still be rejected or fail."""
+    """Submits the requests of a job. `_open`: submissions that may still be rejected or fail, by id."""
 
     def __init__(self, job: ClientsJob) -> None:
         limits = stand_in_limits(DESCRIPTORS, REQUEST_TIMEOUT_S)
--- a/ashpath/emulator/loopback/replay.py
+++ b/ashpath/emulator/loopback/replay.py
@@ -22,14 +22,14 @@
 from ashpath.emulator.topology import Topology
 from ashpath.emulator.units import SECOND
 
-SLACK = 50_000  # microseconds that the checker allows on sockets for clocks and the transit of a call
+SLACK = 50_000  # microseconds that the checker allows for differences of clocks and the transit of a call
 DEADLINE_SLACK = 6 * SLACK
-SUBMISSION_TIMEOUT = 2 * SECOND  # within which clients expect the response to a submission
-CHECK_AFTER_END = 60 * SECOND
+SUBMISSION_TIMEOUT = 2 * SECOND  # microseconds within which clients expect the response to a submission
+CHECK_AFTER_END = 60 * SECOND  # microseconds from the last observation to the time of the final checks
 
 
 def checker_for_sockets(settings: PolicySettings, watched: str) -> InvariantChecker:
-    """Returns an invariant checker with tolerances for sockets and clocks."""
+    """Returns an invariant checker with tolerances for sockets and clocks; `watched`: a message to trace."""
     return InvariantChecker(
         settings.drain_grace + SLACK, settings.settle_time - SLACK, watched, retry_after_slack=2 * SLACK
     )
@@ -186,8 +186,8 @@
         """Whether the observations leave open which of two incarnations or senders sends the message.
 
         This is so if a sender was killed while its response to the client, or a destination's response, was
-        in transit: its next incarnation may continue with a message that may be repeated, though the client
-        has submitted the request to another sender, or the message is delivered.
+        in transit. The sender's next incarnation may then repeat the message, although the client has
+        submitted the request to another sender, or the message is already delivered.
         """
         request = self._requests[request_id(message_id)]
         if self._traffic_classes[request.traffic_class].retry_safety is RetrySafety.AT_MOST_ONCE:
--- a/ashpath/emulator/soak/clients.py
+++ b/ashpath/emulator/soak/clients.py
@@ -21,7 +21,10 @@
 
 
 class SoakClients:
-    """The clients of one sender. They submit requests from `run` on until their greenlet is killed."""
+    """The clients of one sender. They submit requests from `run` on until their greenlet is killed.
+
+    `rate`: mean requests per second; `destinations`: the number of destinations.
+    """
 
     def __init__(
         self,
@@ -51,7 +54,7 @@
             gevent.spawn(self._submit, self._draw_submission())
 
     def connect_idle(self, count: int) -> None:
-        """Opens up to `count` connections that send no request."""
+        """Opens `count` connections that send no request, or fewer if a connection fails."""
         for _ in range(count):
             try:
                 self._silent_connections.append(open_connection(self.address, self._limits))
--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -61,13 +61,14 @@
 
     def end_batch(self) -> None:
         """Dispatches messages after the events of a batch, and closes idle connections."""
-        # Each destination is dispatched at most once, and none once max_in_flight calls are in flight.
+        # Each destination is dispatched at most once, and none after max_in_flight calls are in flight.
         for _ in range(len(self.needs_dispatch)):
             if len(self.attempts_in_flight) >= self.settings.max_in_flight:
                 cancel_overdue_attempt(self)
                 break
             self.needs_dispatch.popitem(last=False)[0].dispatch()
-        # Idle connections would occupy endpoints that accept few; each further call there needs a new one.
+        # Idle connections would occupy endpoints that accept few connections. Without them, each further call
+        # there needs a new one.
         for endpoint in (e for e in self.idle_endpoints if not e.in_flight):
             self.actions.close_idle_connections(endpoint.endpoint_id)
         self.idle_endpoints.clear()
@@ -101,7 +102,7 @@
     ) -> None:
         """Records an attempt's outcome, then finishes the message or queues it again.
 
-        `retry_after` is the response's Retry-After in microseconds. If `final`, no outcome leads to a retry.
+        `retry_after` is the response's Retry-After in microseconds. If `final`, the message is not retried.
         """
         message = self.messages.get(message_id)
         if message is None or message.attempt is None:
@@ -137,6 +138,8 @@
         duration = self.now - attempt.started_at
         attempt.unresolved -= 1
         gate.retry_after_until = max(gate.retry_after_until, self.now + retry_after)
+        # A time-out is applied only if it is the outcome of the call's last message, as a message with an
+        # earlier deadline may time out before the call has ended.
         if not attempt.outcome_applied and (
             outcome is not AttemptOutcome.TIMED_OUT or not attempt.unresolved
         ):
@@ -157,6 +160,7 @@
         share = self.full_table_shares[kind]
         share += tuning.SMOOTHING_GAIN / 2 * (found_full_table - share)
         self.full_table_shares[kind] = share
+        # Closes idle connections if calls are too rare to reuse them, or if connection tables are often full.
         if 2 * endpoint.call_interval > self.settings.idle_timeout or share > tuning.MAX_FULL_TABLE_SHARE:
             self.idle_endpoints.append(endpoint)
 
@@ -166,7 +170,10 @@
         retries.answer_undelivered(self, message)
 
     def re_evaluate(self, message: Message) -> None:
-        """Answers a message that can no longer be delivered; queues any other anew, as in time or late."""
+        """Answers a message that can no longer be delivered; queues any other anew, as in time or late.
+
+        A message that waits behind its ordering key's first message is not queued.
+        """
         if not retries.may_be_sent(self, message):
             self.finish_undelivered(message)
         elif message.queue is None:
@@ -187,9 +194,9 @@
             self.actions.poll_endpoints()
 
     def rank(self) -> None:
-        """Ranks the endpoints of destinations that had events.
+        """Ranks the endpoints of destinations that had events, and starts polling if the settings require it.
 
-        Drops destinations without known endpoints and unfinished messages.
+        Drops destinations that have neither known endpoints nor unfinished messages.
         """
         changed = self.needs_ranking
         self.needs_ranking = {}
--- a/ashpath/server/backoff.py
+++ b/ashpath/server/backoff.py
@@ -1,9 +1,9 @@
 """Exponential backoff with jitter between tries of a failed call. The computation has no I/O.
 
-Service discovery and notifications use it. In a fleet that was killed together every sender's calls fail at
-the same moment; with a fixed pause all senders would try again together, repeatedly, and all be rejected. The
-pause therefore doubles with each failure in a row, from `min_s` to `max_s`, and the share `jitter` of each
-pause is random.
+Service discovery and notifications use it. If all senders are killed together, their calls fail at the same
+moment after the restart; with a fixed pause they would try again together, repeatedly, and all be rejected.
+The pause therefore doubles with each failure in a row, from `min_s` to `max_s`, and the share `jitter` of
+each pause is random.
 
 A Retry-After is honored up to two thirds of `max_retry_after_s`. The pause is then random between that value
 and `max_retry_after_s`, as all senders may have received the same Retry-After.
--- a/ashpath/server/delivery/connection_pool.py
+++ b/ashpath/server/delivery/connection_pool.py
@@ -6,7 +6,7 @@
 | --- | --- | --- |
 | in use | `acquire`: an idle connection, or a new one | `release`, `close` |
 | idle | `release`, if it can carry a further request | `acquire`, `sweep`, `close_idle`, `make_room` |
-| closed | `close`, and `release` if it cannot | |
+| closed | `close`, and `release` if it cannot carry a further request | |
 
 The caller of `acquire` owns the connection, and calls either `release` or `close`, exactly once. `open`
 counts connections in use and idle ones. Idle connections are stored by endpoint, not by address: a new
@@ -26,7 +26,8 @@
 from ashpath.server.http.connection import HttpConnection, open_connection
 from ashpath.server.limits import ServerLimits
 
-TRUSTED_IDLE_FRACTION = 0.8  # of the idle time that ended in a reset: the new idle limit
+# The new idle limit of an endpoint, as a fraction of the idle time after which it dropped a connection.
+TRUSTED_IDLE_FRACTION = 0.8
 
 
 class IdleConnection(NamedTuple):
@@ -38,7 +39,7 @@
 
 
 class IdleLimit(NamedTuple):
-    """How long an endpoint keeps idle connections, if it drops them before the configured limit."""
+    """The shorter idle limit of an endpoint that drops idle connections before the configured limit."""
 
     longest_idle: float
     """Seconds."""
@@ -147,7 +148,8 @@
         }
         for endpoint_id in list(self.idle):
             kept = deque[IdleConnection]()
-            # Closes now what would exceed its limit before the next sweep.
+            # Connections that would exceed their limit before the next sweep are closed now, unless they have
+            # been idle for less than `min_endpoint_idle_s`.
             oldest = now - self.idle_limit(endpoint_id) + self.limits.pool_sweep_s
             for idle in self.idle.pop(endpoint_id):
                 young = idle.since > min(oldest, now - self.limits.min_endpoint_idle_s)
--- a/ashpath/server/delivery/response_classifier.py
+++ b/ashpath/server/delivery/response_classifier.py
@@ -6,7 +6,7 @@
 | --- | --- |
 | a response | by its status, `STATUS_OUTCOMES`; any other status: ERROR |
 | 503 with `x-egress-full: 1` | NOT_SENT: the request was not forwarded |
-| 503 to the first request on a connection that closes the connection | CONNECTION_TABLE_FULL |
+| 503 that answers the first request on a connection and closes the connection | CONNECTION_TABLE_FULL |
 | none | by the type of the failure, `FAILURE_OUTCOMES` |
 """
 
@@ -47,11 +47,11 @@
 REMAINING_QUOTA_FIELD = b"x0"
 RATE_LIMIT_FIELD = b"x1"
 MICROSECONDS_PER_SECOND = 1e6
-HEADER_NUMBER_LIMIT = 1e6  # a larger number in a header counts as invalid
+HEADER_NUMBER_LIMIT = 1e6  # this or a larger number in a header counts as invalid
 
 
 def parse_number(text: bytes | None) -> float | None:
-    """Parses a number of a header or load report; returns None if absent, not a number or out of range.
+    """Parses a number in a header or load report; returns None if absent, not a number or out of range.
 
     >>> [parse_number(text) for text in (b"0.25", b"soon", None, b"nan", b"-1")]
     [0.25, None, None, None, None]
@@ -111,5 +111,5 @@
         remaining_quota = values.get(REMAINING_QUOTA_FIELD)
         rate_limit = values.get(RATE_LIMIT_FIELD)
         if remaining_quota is None or not rate_limit:
-            return None  # a missing quota read as 0 would stop all attempts
+            return None  # if a missing quota counted as 0, all attempts would stop
         return LoadReport(min(remaining_quota, 1.0), rate_limit)
--- a/ashpath/server/http/connection_table.py
+++ b/ashpath/server/http/connection_table.py
@@ -13,14 +13,16 @@
 | RESPONDING | an unexpected error in this process | REJECTING |
 | REJECTING | the response is written | HALF_CLOSED |
 | HALF_CLOSED | the client's input is drained, in full or up to a limit | closed |
-| any | the client has closed or reset the connection, or it is evicted | closed |
+| any | the client has closed or reset the connection | closed |
+| any but RESPONDING and REJECTING | the connection is evicted | closed |
 
 A closed connection leaves the table. A connection that this side ends is half-closed first: a client that is
 still writing can read the response, and the bytes that it sends after the half-close are discarded.
 
 Connections are evicted in this order, the one longest in its state first: half-closed ones whose client has
 not closed; those without a first request; idle ones; those stalled within a request. A connection in
-RESPONDING is never evicted, nor is one whose next request, or a further part of it, waits to be read.
+RESPONDING or REJECTING is never evicted, nor is one whose next request, or a further part of it, waits to be
+read.
 """
 
 from __future__ import annotations
@@ -137,7 +139,7 @@
 
     def evict(self, state: ConnectionState, min_age_s: float = 0.0) -> bool:
         """Closes the connection longest in a state, unless it entered the state less than `min_age_s` ago or
-        its next request waits to be read; returns whether it did.
+        its next request waits to be read; returns whether a connection was closed.
 
         In READING, closes the first candidate without unread bytes: a client that still sends has not
         stalled."""
--- a/ashpath/server/policy_batch.py
+++ b/ashpath/server/policy_batch.py
@@ -8,8 +8,8 @@
 re-evaluates and queues its actions, which are performed at once. No greenlet switches between the begin and
 the end, so that batches never interleave. An exception in the body leaves the batch without ending it.
 
-What the other process published is read when the batch begins. It is applied after the body, because the body
-may list the endpoints concerned, and before the end of the batch, because that is when attempts start.
+What the other process published is read when the batch begins. It is applied after the body, because an event
+of the body may add the endpoints concerned, and before the end of the batch, because attempts start there.
 """
 
 from __future__ import annotations
--- a/ashpath/server/runtime.py
+++ b/ashpath/server/runtime.py
@@ -59,6 +59,8 @@
         for service in self.services():
             greenlet = gevent.spawn(supervise, service, sender.limits.retry_s, sender.logger)
             self.greenlets.append(greenlet)
+        # The garbage collector was disabled for the start, see `ashpath/__main__.py`. Later collections do
+        # not traverse the frozen objects.
         gc.collect()
         gc.freeze()
         gc.enable()
--- a/ashpath/server/storage/log_directory.py
+++ b/ashpath/server/storage/log_directory.py
@@ -22,7 +22,7 @@
 
 FIRST_LOG = "journal"  # claimed by a process that starts while no living process holds it
 LOG_NAME = re.compile(r"journal(-[0-9]+)?")
-BLOCK_BYTES = 4096  # what rounding up to whole blocks may add to a log and its rewritten copy together
+BLOCK_BYTES = 4096  # bytes that rounding up to whole blocks may add to a log and its rewritten copy together
 OTHER_LOG_FACTOR = 2.2  # bytes of disk per byte of another log: the log, its rewritten copy, and some growth
 
 
--- a/ashpath/server/storage/shared_memory.py
+++ b/ashpath/server/storage/shared_memory.py
@@ -2,13 +2,13 @@
 
 Theory of operation. The rules treat the two processes of a hot upgrade as one sender. Each process owns one
 of MAX_PROCESSES files of the state directory, `board-0` and so on, which it locks for its lifetime and maps
-for writing. It maps the other files for reading. A notice is a record in memory that the kernel shares. It
-applies to the other processes from their next check, which each batch of the policy makes, and each attempt
-before its first byte; and it outlives its writer even if that is killed. A check compares two counters in
-memory, so no records are read while no hot upgrade takes place.
+for writing. It maps the other files for reading. A notice is a record in memory that the kernel shares. The
+notice applies to another process from that process's next check: a process checks in each batch of the
+policy, and before the first byte of each attempt. The notice stays in force even if the process that wrote it
+is killed. A check compares two counters in memory, so no records are read while no hot upgrade takes place.
 
 A record is complete before its counter changes (`shared_memory_layout.py`). The disk space of a file is
-allocated when the file is created, since a store into a mapped hole on a full disk would end the process. If
+allocated when the file is created: on a full disk, a store into an unallocated page would end the process. If
 MAX_NOTICES notices are in force, a new one replaces the notice that ends first.
 """
 
--- a/tests/cli/test_group.py
+++ b/tests/cli/test_group.py
@@ -1,4 +1,4 @@
-"""The group of commands: help, version, completion, and former names of commands."""
+"""The group of commands: help, version, completion, and aliases of commands."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     [("200", 0), ("500", 4)],
 )
 def test_hand_in_alias_behaves_as_submit(alone: Alone, url: str, body: str, exit_code: int) -> None:
-    """Two messages that differ in their ids only give the same output and exit code."""
+    """Two messages that differ only in their ids and destinations give the same output and exit code."""
     alone.start()
     outputs = []
     for number, name in enumerate(("submit", "hand-in")):
--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -1,4 +1,4 @@
-"""Events of one batch in every order."""
+"""The events of one batch, in every order, break no rule."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 RETRY_AFTER = 2 * SECOND
 
-# Events of one batch; `a` is in flight to x1, and its wait, deadline or grace ends at the time of the batch.
+# Events of one batch. Message `a` is in flight to x1, and the other messages have the same ordering key. The
+# batch takes place 1 s after the submissions, as the latency objectives and deduplication windows end.
 EVENTS: dict[str, Callable[[Scenario], PolicyEvent]] = {
     "timed out": lambda scenario: attempt_finished(
         scenario.ids["a"], AttemptOutcome.TIMED_OUT, 0, False, None
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -65,7 +65,7 @@
 
 
 def test_reset_of_idle_connection_shortens_idle_limit(world: World) -> None:
-    """A far end resets connections that were idle for a while, without a FIN before. The pool then closes
+    """The far end resets a connection that was idle for a while, without sending a FIN. The pool then closes
     connections after a shorter idle time, and reuses the most recently used connection first."""
     stages = DeliveryStages(world)
     pool = stages.pool
--- a/tests/server/http/test_admission.py
+++ b/tests/server/http/test_admission.py
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("result", REJECTIONS, ids=repr)
 def test_policy_rejection_gives_its_status_and_retry_after(tmp_path: Path, result: SubmitResult) -> None:
-    """The client reads the decision that the policy makes in the batch of the submission."""
+    """The response tells the client what the policy decides in the batch of the submission."""
     listener, receiver, _ = client_listener(tmp_path)
     receiver.submit_result = result
     admission = listener.handler.admission
@@ -57,8 +57,8 @@
 
 
 def test_full_write_ahead_log_rejects_messages_and_loses_none(tmp_path: Path) -> None:
-    """Guards against a log that outgrows the disk when its old and new file exist together: messages without
-    space are answered 503, and no accepted message is lost."""
+    """Guards against a log that outgrows its share of the disk while its old and its new file exist together:
+    messages that do not fit are answered 503, and no accepted message is lost."""
     max_bytes = 8 * BLOCK_BYTES
     admission, write_ahead_log = admission_and_log(tmp_path, max_bytes)
     statuses: list[int] = []
--- a/tests/server/http/test_client_connection.py
+++ b/tests/server/http/test_client_connection.py
@@ -90,7 +90,7 @@
     else:
         until(lambda: listener.table.count(ConnectionState.AWAITING_FIRST_REQUEST))
     listener.close_idle()
-    far.sendall(request("b", "free", "2" * size, 1))  # no switch between the two
+    far.sendall(request("b", "free", "2" * size, 1))  # no greenlet runs between the two
     assert receive_all(far) == b""
     assert receiver.events == ["submitted a"] * (not first)
     gevent.sleep(0.05)
--- a/tests/server/storage/test_stored_data_at_start.py
+++ b/tests/server/storage/test_stored_data_at_start.py
@@ -32,7 +32,8 @@
     undeliverable = dict.fromkeys(["p-owed", "p-tried", "p-out", "p-orphan-out"], ("undeliverable", None))
     assert reported == {**undeliverable, "p-deferred": ("deferred", 500)}
     assert set(world.attempts) == {"p-waiting", "p-ran", "p-ran-and-out"}
-    waiting = ["p-bytes", "p-empty", "p-orphan-waiting"]  # for the endpoint that an operator has detached
+    # These messages wait for the endpoint that an operator has detached.
+    waiting = ["p-bytes", "p-empty", "p-orphan-waiting"]
     until(lambda: [message.trace_id for message in live_messages(world)] == waiting)
 
 
@@ -54,7 +55,7 @@
     try:
         sender.start()
         assert {message: sender.state(message) for message in FINAL_STATES} == FINAL_STATES
-        # Its first attempt may have run, and its deduplication window has passed.
+        # The first attempt of s-ran may have run, and the deduplication window has passed.
         assert sender.state("s-ran") == "undeliverable"
     finally:
         sender.stop()
