--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -1,4 +1,4 @@
-"""Events of one batch in every order."""
+"""The events of one batch, in every order, break no rule."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 RETRY_AFTER = 2 * SECOND
 
-# Events of one batch; `a` is in flight to x1, and its wait, deadline or grace ends at the time of the batch.
+# Events of one batch. Message `a` is in flight to x1, and the other messages have the same ordering key. The
+# batch takes place 1 s after the submissions, as the latency objectives and deduplication windows end.
 EVENTS: dict[str, Callable[[Scenario], PolicyEvent]] = {
     "timed out": lambda scenario: attempt_finished(
         scenario.ids["a"], AttemptOutcome.TIMED_OUT, 0, False, None
@@ -65,11 +66,11 @@
     a = scenario.messages[scenario.ids["a"]]
     b = scenario.messages[scenario.ids["b"]]
     scenario.policy.begin_batch(scenario.now)
-    for at, name in enumerate(names):
+    for index, name in enumerate(names):
         if name == "disconnect" and b.finished:
             continue  # b has its final answer: its client cannot disconnect any more
         update_checker(scenario, a, name)
-        if name == "list" and "detach" not in names[:at]:
+        if name == "list" and "detach" not in names[:index]:
             scenario.draining_since.pop("x1", None)
         EVENTS[name](scenario)(scenario.policy)
     scenario.policy.end_batch()
