--- a/ashpath/config/reference.py
+++ b/ashpath/config/reference.py
@@ -15,13 +15,14 @@
 
 PAGE_HEADER = """# The sender's file
 
-Made by `ashpath explain --markdown` of `ashpath/config/schema.py`; a test fails where this page is stale.
-
-The file is TOML. `ashpath check FILE` says all that is wrong with it at once, each with its line, and
-`ashpath serve FILE` starts a sender from it. Durations are written `250ms`, `4s`, `1.5h`, sizes `64KiB`,
-`3MB`. Unknown keys are errors. A secret never stands in the file: `{ env = "NAME" }` names a variable,
-`{ file = "PATH" }` a file whose text it is. *SIGHUP* says whether a reload takes a change, or the next start
-does; the log names both by key.
+`ashpath explain --markdown` generates this page from `ashpath/config/schema.py`; a test fails if it is stale.
+
+The file is TOML. `ashpath check FILE` reports all errors in it at once, each with its line, and
+`ashpath serve FILE` starts a sender from it. Durations are written as `250ms`, `4s` or `1.5h`, sizes as
+`64KiB` or `3MB`. Unknown keys are errors. The file never contains a secret: `{ env = "NAME" }` names an
+environment variable that holds it, `{ file = "PATH" }` a file whose content it is. The column *applied* says
+whether a change of the key is applied by a reload (SIGHUP) or at the next start; the log names the changed
+keys of both groups.
 """
 
 
@@ -123,10 +124,10 @@
     text = PAGE_HEADER
     for table in reference_tables():
         text += f"\n## `[{table.path}]`\n\n{' '.join(table.doc.split())}\n\n"
-        text += "| key | wants | default | SIGHUP | what it is for |\n| --- | --- | --- | --- | --- |\n"
+        text += "| key | value | default | applied | description |\n| --- | --- | --- | --- | --- |\n"
         for key in table.keys:
-            default = f"`{key.default}`" if key.default else "must be given"
-            when = "taken" if key.reloadable else "next start"
+            default = f"`{key.default}`" if key.default else "required"
+            when = "by SIGHUP" if key.reloadable else "at the next start"
             text += f"| `{key.name}` | {key.expected} | {default} | {when} | {key.doc} |\n"
     return text
 
@@ -139,8 +140,8 @@
     lines = []
     for key in reference_keys():
         if key_path is None or key.path == key_path or key.path.startswith((f"{key_path}.", f"{key_path}[")):
-            default = f"default {key.default}" if key.default else "must be given"
-            when = "SIGHUP takes it" if key.reloadable else "waits for the next start"
+            default = f"default {key.default}" if key.default else "required"
+            when = "applied by SIGHUP" if key.reloadable else "applied at the next start"
             lines.append(f"{key.path}\n    {key.doc}\n    {key.expected}; {default}; {when}")
     return lines
 
