--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -198,7 +198,7 @@
         discovery = self.sender.discovery
         address = configuration.sender.platform_address
         if discovery is not None and address is not None:
-            discovery.move(address)
+            discovery.change_address(address)
         changed = any(path.startswith("destinations") for path in applied)
         if changed and discovery is None and address is None:
             members = configuration.sender.known_endpoints["members"]
@@ -209,7 +209,7 @@
         notifier = self.sender.delivery.notifier
         receiver = configuration.notification_receiver()
         if isinstance(notifier, HttpNotifier) and receiver is not None:
-            notifier.move(receiver)
+            notifier.change_receiver(receiver)
 
 
 def truncate_keys(paths: list[str]) -> list[str]:
--- a/ashpath/server/agent_client.py
+++ b/ashpath/server/agent_client.py
@@ -30,7 +30,7 @@
         self.connected_address = address  # of the connection, or of the one being dialled
         self.dialling: socket.socket | None = None  # the socket that is being dialled
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Uses `address` for all further calls. A call in flight fails."""
         self.address = address
         self.abort()
@@ -75,7 +75,7 @@
         if kept is not None and self.connected_address == self.address and kept.is_idle():
             return kept
         self.close()
-        self.connected_address = self.address  # before the dial, as `move` may be called meanwhile
+        self.connected_address = self.address  # before the dial, as `change_address` may be called meanwhile
         self.dialling = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             self.connection = dial(self.dialling, self.connected_address, self.limits)
--- a/ashpath/server/delivery/http_notifier.py
+++ b/ashpath/server/delivery/http_notifier.py
@@ -59,10 +59,10 @@
         self.backoff = backoff
         self.max_batch = limits.notification_batch  # messages; 1 after a 400, to isolate the unreadable line
 
-    def move(self, receiver: NotificationReceiver) -> None:
+    def change_receiver(self, receiver: NotificationReceiver) -> None:
         """Replaces the receiver; a call in flight fails and is repeated at the new receiver."""
         self.receiver = receiver
-        self.connection.move(receiver.address)
+        self.connection.change_address(receiver.address)
 
     def run(self) -> None:
         """Sends pending notifications until the process ends."""
--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -109,7 +109,7 @@
             limits.discovery_jitter,
         )
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Polls the agent at `address` from now on, starting with a snapshot.
 
         The new agent may number revisions from a new start, and its list may differ from that of the old
@@ -122,7 +122,7 @@
             self.silent_backoff.reset()
             self.rejected_backoff.reset()
         self.pause.interrupt()
-        self.connection.move(address)
+        self.connection.change_address(address)
         for poll in self.late_polls:
             poll.connection.abort()
 
--- a/ashpath/server/discovery/departures.py
+++ b/ashpath/server/discovery/departures.py
@@ -1,8 +1,8 @@
 """Records endpoints that left, so that an older list does not restore them.
 
-A restarted agent, or another agent after a move, may have an older list than the one read before, and may
-number its revisions from a new start. Such a list is applied except for one part: an endpoint whose drain or
-removal was read stays draining until newer information lists it as up.
+A restarted agent, or another agent after a change of address, may have an older list than the one read
+before, and may number its revisions from a new start. Such a list is applied except for one part: an endpoint
+whose drain or removal was read stays draining until newer information lists it as up.
 
 | a departed endpoint is listed as up | treated as |
 | --- | --- |
--- a/ashpath/server/discovery/lease.py
+++ b/ashpath/server/discovery/lease.py
@@ -36,7 +36,8 @@
         self.rejections = 0
 
     def shorten(self, now: float, length_s: float) -> None:
-        """Shortens the lease after a move: the new agent's list must be read within `length_s`."""
+        """Shortens the lease after a change of address: the new agent's list must be read within
+        `length_s`."""
         self.expires_at = min(self.expires_at, now + length_s) if self.remaining(now) > 0 else now + length_s
         self.rejections = 0
 
--- a/ashpath/server/gossip.py
+++ b/ashpath/server/gossip.py
@@ -29,7 +29,7 @@
 
 
 class Gossip:
-    """Sends messages to peers and receives theirs. Inactive until `move` sets an address."""
+    """Sends messages to peers and receives theirs. Inactive until `change_addresses` sets an address."""
 
     def __init__(self, listener: GossipListener, logger: Logger) -> None:
         self.listener = listener
@@ -42,7 +42,7 @@
         self.reader: gevent.Greenlet[..., None] | None = None
         self.peers: frozenset[Address] = frozenset()
 
-    def move(self, address: Address | None, peers: frozenset[Address]) -> None:
+    def change_addresses(self, address: Address | None, peers: frozenset[Address]) -> None:
         """Changes the address and the peers, also while gossip is active.
 
         Raises OSError if the address cannot be bound; the previous socket and peers stay in use then."""
--- a/ashpath/server/metrics/exposition.py
+++ b/ashpath/server/metrics/exposition.py
@@ -39,7 +39,7 @@
         self.address: Address | None = None
         self.server: WSGIServer | None = None
 
-    def move(self, address: Address | None) -> None:
+    def change_address(self, address: Address | None) -> None:
         """Serves at another address, or nowhere if `address` is None.
 
         Raises OSError if the address is not available; the previous server then continues."""
@@ -61,7 +61,8 @@
             error_log=None,
             spawn=Pool(MAX_SCRAPERS),
             handler_class=TimedHandler,
-            # Without a name the server resolves one, and other greenlets would run in the middle of `move`.
+            # Without a name the server resolves one, and other greenlets would run in the middle of
+            # `change_address`.
             environ={"SERVER_NAME": address[0]},
         )
         server.start()
--- a/ashpath/server/metrics/metrics.py
+++ b/ashpath/server/metrics/metrics.py
@@ -26,8 +26,8 @@
         """Address at which the metrics are served, or None."""
         return self.server.address
 
-    def move(self, address: Address | None) -> None:
+    def change_address(self, address: Address | None) -> None:
         """Serves the metrics at another address, or nowhere if `address` is None.
 
         Raises OSError if the address is not available; the previous address then stays in use."""
-        self.server.move(address)
+        self.server.change_address(address)
--- a/ashpath/server/optional_services.py
+++ b/ashpath/server/optional_services.py
@@ -48,7 +48,7 @@
             self.link.connect(self.gossip)
         if self.gossip is not None:
             try:
-                self.gossip.move(listen, peers)
+                self.gossip.change_addresses(listen, peers)
             except OSError as error:
                 self.logger.error("gossip not received", error=str(error))  # noqa: TRY400 - one line is enough
 
@@ -94,7 +94,7 @@
 
             self.metrics = Metrics(self.source)
         if self.metrics is not None:
-            self.metrics.move(listen)
+            self.metrics.change_address(listen)
             self.recorder.use_metrics(self.metrics.counters if listen else None)
 
     def start(self, listen: Address | None, *, other_process: bool) -> None:
--- a/ashpath/server/reload.py
+++ b/ashpath/server/reload.py
@@ -163,7 +163,7 @@
             needs_restart=configuration.limits != self.switch.limits,
         )
         if self.discovery is not None and configuration.platform_address is not None:
-            self.discovery.move(configuration.platform_address)
+            self.discovery.change_address(configuration.platform_address)
             if isinstance(self.notifier, HttpNotifier):
-                self.notifier.move(NotificationReceiver(configuration.platform_address))
+                self.notifier.change_receiver(NotificationReceiver(configuration.platform_address))
         self.switch.apply(configuration)
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -187,7 +187,7 @@
     def move_and_dial(sock: socket.socket, address: Address, limits: ServerLimits) -> HttpConnection:
         connection = dial(sock, address, limits)
         if address == old.address:
-            client.move(new.address)
+            client.change_address(new.address)
         return connection
 
     monkeypatch.setattr("ashpath.server.agent_client.dial", move_and_dial)
@@ -200,8 +200,8 @@
 
 @pytest.mark.parametrize("retry_after", [b"60", b""], ids=["with Retry-After", "without"])
 def test_move_ends_pause_caused_by_old_agent(world: World, retry_after: bytes) -> None:
-    """A drain must be received within 4 s after SIGHUP moves the agent. A pause that the old agent caused
-    would delay it, so the move ends the pause."""
+    """A drain must be received within 4 s after SIGHUP names another agent. A pause that the old agent caused
+    would delay it, so the change of address ends the pause."""
     headers = [(b"Retry-After", retry_after)] if retry_after else []
     old = ScriptedAgent(world, [encode_message(b"HTTP/1.1 429 X", headers, b""), "hold"])
     new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
@@ -209,7 +209,7 @@
     running = gevent.spawn(client.run)
     until(lambda: client.pause.active)
     began = monotonic()
-    client.move(new.address)
+    client.change_address(new.address)
     until(lambda: new.queries)
     assert monotonic() - began < 0.5
     assert new.queries[0] == b""
--- a/tests/server/discovery/test_lease.py
+++ b/tests/server/discovery/test_lease.py
@@ -18,7 +18,7 @@
 def test_next_poll_begins_within_lease_after_any_two_failures(
     mixture: tuple[str, ...], *, moved: bool
 ) -> None:
-    """After a silent watch or a move, with the longest pauses of the backoffs."""
+    """After a silent watch or a change of address, with the longest pauses of the backoffs."""
     lease = ListLease(0.0, LIMITS.list_lease_s)
     now = 0.0 if moved else LIMITS.watch_s + LIMITS.watch_grace_s
     if moved:
--- a/tests/server/test_gossip.py
+++ b/tests/server/test_gossip.py
@@ -30,11 +30,11 @@
 def peers() -> Iterator[tuple[Peer, Peer]]:
     """Two that name each other."""
     ours, theirs = Peer(), Peer()
-    ours.gossip.move(ours.address, frozenset({ours.address, theirs.address}))
-    theirs.gossip.move(theirs.address, frozenset({ours.address}))
+    ours.gossip.change_addresses(ours.address, frozenset({ours.address, theirs.address}))
+    theirs.gossip.change_addresses(theirs.address, frozenset({ours.address}))
     yield ours, theirs
     for peer in (ours, theirs):
-        peer.gossip.move(None, frozenset())
+        peer.gossip.change_addresses(None, frozenset())
 
 
 def test_a_message_reaches_who_names_its_sender(peers: tuple[Peer, Peer]) -> None:
@@ -60,10 +60,10 @@
 def test_gossip_goes_on_after_it_was_switched_off(peers: tuple[Peer, Peer]) -> None:
     """Also where an address that cannot be had was tried meanwhile: the one before serves on."""
     ours, theirs = peers
-    ours.gossip.move(None, frozenset())
+    ours.gossip.change_addresses(None, frozenset())
     theirs.gossip.publish(b"lost")  # and no fault
-    ours.gossip.move(ours.address, frozenset({theirs.address}))
+    ours.gossip.change_addresses(ours.address, frozenset({theirs.address}))
     with pytest.raises(OSError, match="in use"):
-        ours.gossip.move(theirs.address, frozenset())
+        ours.gossip.change_addresses(theirs.address, frozenset())
     theirs.gossip.publish(b"still received")
     until(lambda: ours.received == [b"still received"])
