--- a/tests/cli/test_standalone.py
+++ b/tests/cli/test_standalone.py
@@ -12,7 +12,7 @@
 import pytest
 from gevent.subprocess import PIPE
 from support.standalone import RULES, TRACKS, Alone
-from support.world import until
+from support.world import wait_until
 
 from ashpath.server.storage.errors import StateDirectoryError
 from ashpath.server.storage.record_codec import MessageSubmitted, RecordReader, encode_fields
@@ -42,7 +42,7 @@
         ("gone", "withdrawn"),
         ("late", "deferred"),
     ):
-        until(alone.ends(trace, state))
+        wait_until(alone.ends(trace, state))
     assert alone.get("/envelopes/late")["again_ms"] >= 1000
     assert alone.get("/envelopes/never") == 404
     assert alone.submit("hangs", "tag", "200", 1) == 409
@@ -50,7 +50,7 @@
     assert [(row["id"], row["state"], row["track"]) for row in live_messages] == [("hangs", "out", "tag")]
     alone.kill()
     alone.start()
-    until(alone.ends("hangs", "completed"))
+    wait_until(alone.ends("hangs", "completed"))
     states = {"done": "completed", "lost": "undeliverable", "late": "deferred"}
     assert {trace: alone.state(trace) for trace in states} == states
     notified = [orjson.loads(line) for line in (alone.folder / "notices.jsonl").read_bytes().splitlines()]
@@ -78,7 +78,7 @@
     for number in range(198):
         assert alone.submit(f"w{number}", ("free", "tag", "once")[number % 3], "200", 5) == 202
     assert alone.submit("out", "once", "slow", 1) == alone.submit("out2", "free", "slow", 1) == 202
-    until(lambda: alone.attempt_count("out") and alone.attempt_count("out2"))
+    wait_until(lambda: alone.attempt_count("out") and alone.attempt_count("out2"))
     before = alone.file.read_text()
     alone.file.write_text(before[:200])  # half written
     assert "configuration not read" in alone.reread()
@@ -98,9 +98,9 @@
     assert alone.submit("too late", "other", "200", 1) == 503  # no longer listed
     assert alone.submit("new", "other", "200", 2) == 202
     assert alone.submit("old", "free", "200", 2) == 400  # its live messages keep its settings
-    until(lambda: all(alone.attempt_count(f"w{number}") == 1 for number in range(198)))
-    until(alone.ends("out", "completed"))
-    until(alone.ends("out2", "completed"))
+    wait_until(lambda: all(alone.attempt_count(f"w{number}") == 1 for number in range(198)))
+    wait_until(alone.ends("out", "completed"))
+    wait_until(alone.ends("out2", "completed"))
     assert alone.attempt_count("out") == alone.attempt_count("out2") == 1
     assert not alone.get("/envelopes")["envelopes"]
     alone.rest += "[kinds.plain]\napart = true\n"
@@ -120,21 +120,21 @@
     for to, (trace, track) in enumerate((("f", "free"), ("t", "tag"), ("o", "once"))):
         alone.submit(trace, track, "hang 200", to, ordering_key="k" if track == "tag" else "")
         alone.submit(f"{trace}-waits", track, "200", 5)
-    until(lambda: all(alone.attempt_count(trace) for trace in "fto"))
+    wait_until(lambda: all(alone.attempt_count(trace) for trace in "fto"))
     alone.kill()
     rest = TRACKS.split("[tracks.tag]")[1]
     alone.tracks = "[tracks.tag]" + rest.replace('"once-only"', '"repeatable"')  # free gone, once changed
     alone.destinations[5] = f'endpoints = ["{alone.endpoint_at}"]'
     alone.write()
     alone.start()
-    until(alone.ends("f", "completed"))
-    until(alone.ends("t", "completed"))
-    until(alone.ends("o", "undeliverable"))  # as it was once-only when it was accepted
-    until(lambda: all(alone.state(f"{trace}-waits") == "completed" for trace in "fto"))
+    wait_until(alone.ends("f", "completed"))
+    wait_until(alone.ends("t", "completed"))
+    wait_until(alone.ends("o", "undeliverable"))  # as it was once-only when it was accepted
+    wait_until(lambda: all(alone.state(f"{trace}-waits") == "completed" for trace in "fto"))
     assert alone.attempt_count("o") == 1
     assert alone.submit("x", "free", "200", 1) == 400
     assert alone.submit("y", "once", "500 200", 1) == 202
-    until(alone.ends("y", "completed"))
+    wait_until(alone.ends("y", "completed"))
     alone.kill(signal.SIGTERM)
     alone.start()
     names = [row["name"] for row in orjson.loads((alone.folder / "state" / "imprint").read_bytes())["tracks"]]
@@ -196,7 +196,7 @@
     """
     alone.start()
     assert alone.submit("kept", "once", "hang", 1) == 202
-    until(lambda: alone.attempt_count("kept"))
+    wait_until(lambda: alone.attempt_count("kept"))
     alone.kill()
     state_directory = StateDirectory(tmp_path / "state", "n0")
     assert state_directory.live_messages() == 1
@@ -207,7 +207,7 @@
 
     alone.start(stdout=PIPE, preexec_fn=limit_file_size)
     assert alone.submit("refused", "once", "200", 1) == 503
-    until(alone.ends("kept", "undeliverable"))
+    wait_until(alone.ends("kept", "undeliverable"))
     alone.kill()
     state_directory = StateDirectory(tmp_path / "state", "n0")
     assert state_directory.live_messages() == 1
@@ -222,7 +222,7 @@
         os.seteuid(user_id)
         state.chmod(0o700)
     alone.start()
-    until(alone.ends("kept", "undeliverable"))
+    wait_until(alone.ends("kept", "undeliverable"))
 
 
 def test_unread_log_output_does_not_block_sender(alone: Alone) -> None:
@@ -233,7 +233,7 @@
     alone.start(stdout=write_end)
     for number in range(60):
         assert alone.submit(f"b{number}", "once", "200", 1) == 202
-    until(lambda: all(alone.attempt_count(f"b{number}") == 1 for number in range(60)))
+    wait_until(lambda: all(alone.attempt_count(f"b{number}") == 1 for number in range(60)))
     output = b""
     while b"event=ready" not in output:
         output += os.read(read_end, 4096)
@@ -241,7 +241,7 @@
     assert alone.process is not None
     alone.process.send_signal(signal.SIGHUP)  # writes a log line to the closed pipe
     assert alone.submit("after", "once", "200", 1) == 202
-    until(alone.ends("after", "completed"))
+    wait_until(alone.ends("after", "completed"))
     os.close(write_end)
     assert alone.process.poll() is None
 
@@ -253,7 +253,7 @@
     """
     alone.start(stdout=None, preexec_fn=lambda: os.closerange(0, 3))
     assert alone.submit("c", "once", "200", 1) == 202
-    until(alone.ends("c", "completed"))
+    wait_until(alone.ends("c", "completed"))
     assert alone.process is not None
     assert os.readlink(f"/proc/{alone.process.pid}/fd/1") == "/dev/null"
     with (alone.folder / "state" / "journal").open("rb") as file:
@@ -280,7 +280,7 @@
     environment = os.environ | {"ASHPATH_TEST_PASS": "Bearer of-calls"}
     alone.start(env=environment)
     assert alone.submit("s", "once", "500 secret-body", 1) == 202
-    until(lambda: alone.notified("s") == ["undeliverable"])
+    wait_until(lambda: alone.notified("s") == ["undeliverable"])
     assert alone.attempts["s"][0].headers[b"authorization"] == b"Bearer of-calls"
     log = (alone.folder / "log").read_text()
     assert "of-calls" not in log
--- a/tests/cli/test_status_commands.py
+++ b/tests/cli/test_status_commands.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 from support.standalone import Alone
-from support.world import until
+from support.world import wait_until
 
 
 @pytest.fixture
@@ -14,7 +14,7 @@
     alone.start()
     arguments = ["--to", "1", "--track", "tag", "--body", "-", "--id", "h"]
     assert alone.run("submit", "--url", url, *arguments, input="hang").returncode == 0
-    until(lambda: alone.attempt_count("h"))
+    wait_until(lambda: alone.attempt_count("h"))
     return alone
 
 
--- a/tests/emulator/fault_injection/test_fault_injection.py
+++ b/tests/emulator/fault_injection/test_fault_injection.py
@@ -12,7 +12,7 @@
 from gevent import socket, subprocess
 from gevent.server import StreamServer
 from support.server import address_of
-from support.world import World, until
+from support.world import World, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import (
     SHORT,
@@ -45,7 +45,7 @@
     world.start()
     for number in range(24):
         world.submit(f"m{number}", "free", "200", 1)
-    until(lambda: world.attempt_count("m23"))
+    wait_until(lambda: world.attempt_count("m23"))
     injected = json.loads(report_path(world.folder / "faults").read_text())
     reached = {key.partition(" ")[0] for key in injected}
     assert {"accept", "connect", "receive", "send", "write"} <= reached
@@ -135,7 +135,7 @@
     proxy = FaultProxy(address_of(target))
     host, _, port = proxy.address.partition(":")
     caller = socket.create_connection((host, int(port)))
-    until(lambda: proxy.accepted[ProxyMode.FORWARD])
+    wait_until(lambda: proxy.accepted[ProxyMode.FORWARD])
     proxy.reset_connections()
     with pytest.raises(ConnectionResetError):
         caller.recv(1)
--- a/tests/server/control/test_operator_commands.py
+++ b/tests/server/control/test_operator_commands.py
@@ -7,7 +7,7 @@
 import pytest
 from gevent import socket
 from support.server import READY
-from support.world import World, until
+from support.world import World, wait_until
 
 ANSWERS = [  # a command and the start of its answer
     (b"PING\n", b"OK\n"),
@@ -42,12 +42,12 @@
     idle = started.connect()
     assert idle is not None
     assert started.operator_command(b"LAMEDUCK\n").startswith(b"OK")
-    until(lambda: started.response_status(READY) == 503)
+    wait_until(lambda: started.response_status(READY) == 503)
     assert idle.receive() is False or not len(idle.buffer)  # closed by the sender
     assert started.submit("l1", "free", "200", 4) == 202
-    until(lambda: started.attempt_count("l1") == 1)
+    wait_until(lambda: started.attempt_count("l1") == 1)
     assert started.operator_command(b"REJOIN\n").startswith(b"OK")
-    until(lambda: started.response_status(READY) == 200)
+    wait_until(lambda: started.response_status(READY) == 200)
 
 
 def test_silent_operators_do_not_block_other_operators(started: World) -> None:
@@ -71,9 +71,9 @@
     started.kill(signal.SIGKILL)
     started.start()
     assert started.submit("h2", "free", "200", 5, time_left_ms=30000) == 202
-    until(lambda: started.notified("h1") != [])
+    wait_until(lambda: started.notified("h1") != [])
     assert started.attempt_count("h1") == 0
     assert started.attempt_count("h2") == 0
     assert started.operator_command(b"ATTACH e5\n").startswith(b"OK")
-    until(lambda: started.attempt_count("h2") == 1)
+    wait_until(lambda: started.attempt_count("h2") == 1)
     assert started.operator_command(b"ATTACH e5\n").startswith(b"OK")
--- a/tests/server/delivery/test_attempt_runner.py
+++ b/tests/server/delivery/test_attempt_runner.py
@@ -9,7 +9,7 @@
 from gevent import Timeout, socket
 from msgspec.structs import replace
 from support.stages import DeliveryStages
-from support.world import LIMITS, World, until
+from support.world import LIMITS, World, wait_until
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.addresses import Address
@@ -78,9 +78,9 @@
     stages.pool.limits = replace(LIMITS, response_rest_s=0.05)
     for count, (data, (outcome, kept)) in enumerate(RESPONSES.items(), 1):
         stages.start("s", b"")
-        until(lambda count=count: len(stages.outcomes) == count)  # type: ignore[misc]  # bound in the loop
+        wait_until(lambda count=count: len(stages.outcomes) == count)  # type: ignore[misc]  # bound in the loop
         assert stages.outcomes[-1] is outcome, data
-        until(lambda kept=kept: stages.pool.open == kept)  # type: ignore[misc]  # bound in the loop
+        wait_until(lambda kept=kept: stages.pool.open == kept)  # type: ignore[misc]  # bound in the loop
         stages.pool.close_idle("e1")
 
 
@@ -89,19 +89,19 @@
     address of the endpoint, so that the next attempt is not sent."""
     stages = DeliveryStages(world)
     stages.start("a", b"200")
-    until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED])
+    wait_until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED])
     stages.invalid.add("b")
     stages.start("b", b"200")
-    until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED, AttemptOutcome.NOT_SENT])
+    wait_until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED, AttemptOutcome.NOT_SENT])
     stages.start("c", b"200")
-    until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
+    wait_until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
     assert not world.attempt_count("b")
     assert stages.pool.idle
     stages.registry.apply_members([{**row, "phase": "draining"} for row in world.members], complete=False)
     assert not stages.pool.idle
     assert stages.pool.open == 0
     stages.start("d", b"200")
-    until(lambda: stages.outcomes[3:] == [AttemptOutcome.NOT_SENT])
+    wait_until(lambda: stages.outcomes[3:] == [AttemptOutcome.NOT_SENT])
 
 
 def test_cancelled_attempt_has_exactly_one_outcome(world: World) -> None:
@@ -109,15 +109,15 @@
     connection of a cancelled attempt is closed; an attempt that has ended keeps its outcome."""
     stages = DeliveryStages(world)
     stages.start("a", b"hang").cancel()
-    until(lambda: stages.outcomes == [AttemptOutcome.CANCELLED])
+    wait_until(lambda: stages.outcomes == [AttemptOutcome.CANCELLED])
     attempt = stages.start("b", b"hang")
-    until(lambda: world.attempt_count("b") > 0)
+    wait_until(lambda: world.attempt_count("b") > 0)
     attempt.cancel()
-    until(lambda: stages.outcomes == [AttemptOutcome.CANCELLED] * 2)
+    wait_until(lambda: stages.outcomes == [AttemptOutcome.CANCELLED] * 2)
     assert not world.attempt_count("a")
     assert stages.pool.open == 0
     attempt = stages.start("c", b"200")
-    until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
+    wait_until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
     attempt.cancel()
     assert stages.pool.open == 1
 
@@ -159,7 +159,7 @@
         connection.read_request()
         if b"99" in data:  # the runner reads this head first
             connection.write(data[: -2 * len(OK)])
-            until(lambda: connections[0].status_line_read)
+            wait_until(lambda: connections[0].status_line_read)
             sock.send(data[-2 * len(OK) :])
         else:
             sock.send(data)
@@ -170,7 +170,7 @@
     monkeypatch.setattr(stages.pool, "connect", record_connection)
     world.servers[0].set_handle(serve)
     attempt = stages.start("a", b"")
-    until(lambda: bool(stages.outcomes))
+    wait_until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [
         AttemptOutcome.DELIVERED if BYTES_BEFORE_INTERRUPTION[data] else INTERRUPTIONS[error]
     ]
@@ -194,7 +194,7 @@
 
     monkeypatch.setattr(stages.pool, "connect", connect_and_move_endpoint)
     stages.start("a", b"200")
-    until(lambda: bool(stages.outcomes))
+    wait_until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [AttemptOutcome.NOT_SENT]
     assert not world.attempt_count("a")
 
@@ -230,7 +230,7 @@
 
     monkeypatch.setattr(stages.pool, "connect", connect)
     stages.start("a", b"200")
-    until(lambda: bool(stages.outcomes))
+    wait_until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [CONNECT_ERRORS[error]]
 
 
@@ -240,7 +240,7 @@
     stages = DeliveryStages(world)
     monkeypatch.setattr(stages.pool, "connect", lambda _: gevent.sleep(9))
     stages.start("a", b"200", timeout=30_000)
-    until(lambda: bool(stages.outcomes))
+    wait_until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [AttemptOutcome.NOT_SENT]
 
 
@@ -249,6 +249,6 @@
     stages = DeliveryStages(world)
     stages.pool.limits = replace(LIMITS, endpoint_connections=0)
     stages.start("a", b"200")
-    until(lambda: bool(stages.outcomes))
+    wait_until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [AttemptOutcome.LOCAL_FAULT]
     assert not world.attempt_count("a")
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -5,7 +5,7 @@
 import pytest
 from gevent import socket
 from support.stages import DeliveryStages
-from support.world import LIMITS, World, request, reset_connection, until
+from support.world import LIMITS, World, request, reset_connection, wait_until
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.addresses import Address
@@ -36,7 +36,7 @@
         pool.release("e1", connection)
     closed.write(b"nonsense\r\n\r\n")  # the far end closes the connection in response
     spoilt.write(request("s", "free", "200", 1))  # leaves a response that nobody reads
-    until(lambda: not closed.is_idle() and not spoilt.is_idle())
+    wait_until(lambda: not closed.is_idle() and not spoilt.is_idle())
     assert pool.acquire_idle("e1") is good
     assert pool.open == 2
     backdate_idle_connection(pool, 0, LIMITS.endpoint_idle_s)
@@ -83,7 +83,7 @@
     pool.release("e1", old)
     world.servers[0].set_handle(reset_after_request)
     stages.start("a", b"reset")  # uses the young connection, now the longest idle
-    until(lambda: stages.outcomes == [AttemptOutcome.CONNECTION_RESET])
+    wait_until(lambda: stages.outcomes == [AttemptOutcome.CONNECTION_RESET])
     assert 0.1 < pool.idle_limit("e1") < 0.2
     assert pool.idle_limit("e2") == LIMITS.endpoint_idle_s
     last = pool.connect(address)
@@ -91,7 +91,7 @@
     assert pool.acquire_idle("e1") is last
     pool.release("e1", last)
     stages.start("b", b"reset")  # uses the last connection, which was hardly idle: the limit stays
-    until(lambda: len(stages.outcomes) == 2)
+    wait_until(lambda: len(stages.outcomes) == 2)
     assert pool.idle_limit("e1") > 0.1
     pool.close_idle("e1")
     third = pool.connect(address)
--- a/tests/server/delivery/test_endpoint_registry.py
+++ b/tests/server/delivery/test_endpoint_registry.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 from support.server import LOG
 from support.stages import DeliveryStages
-from support.world import LIMITS, World, until
+from support.world import LIMITS, World, wait_until
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.delivery.connection_pool import ConnectionPool
@@ -18,18 +18,18 @@
     stages = DeliveryStages(world)
     stages.start("a", b"200")
     slow = stages.start("b", b"slow")
-    until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED] and slow.written and stages.pool.idle)
+    wait_until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED] and slow.written and stages.pool.idle)
     old = stages.pool.idle["e1"][0][1]
     stages.registry.apply_members(
         [{**world.members[1], "phase": "removed"}, {**world.members[1], "id": "new"}], complete=False
     )
     assert old.unusable
     assert not stages.pool.idle
-    until(
+    wait_until(
         lambda: len(stages.outcomes) == 2 and not stages.pool.open
     )  # the connection that was in use closes as well
     stages.start("c", b"200", "new")
-    until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
+    wait_until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
     assert list(stages.pool.idle) == ["new"]
 
 
--- a/tests/server/delivery/test_file_notifier.py
+++ b/tests/server/delivery/test_file_notifier.py
@@ -9,7 +9,7 @@
 import pytest
 from msgspec.structs import replace
 from support.notifications import ended_message
-from support.world import LIMITS, until
+from support.world import LIMITS, wait_until
 
 from ashpath.server.delivery.file_notifier import FileNotifier
 from ashpath.server.delivery.rotating_file import RotatingFile
@@ -21,7 +21,7 @@
     for trace_id in "abc":
         notifier.add(ended_message(trace_id))
     running = gevent.spawn(notifier.run)
-    until(lambda: not notifier.has_pending)
+    wait_until(lambda: not notifier.has_pending)
     running.kill()
     lines = (tmp_path / "n").read_text().splitlines()
     assert lines == [f'{{"id":"{trace_id}","status":"undeliverable"}}' for trace_id in "abc"]
@@ -44,7 +44,7 @@
     message = ended_message("a")
     notifier.add(message)
     running = gevent.spawn(notifier.run)
-    until(lambda: not notifier.has_pending)
+    wait_until(lambda: not notifier.has_pending)
     running.kill()
     log.record_finished.assert_called_once_with(message)
     assert (tmp_path / "n").read_text() == '{"id":"a","status":"undeliverable"}\n'
--- a/tests/server/delivery/test_http_notifier.py
+++ b/tests/server/delivery/test_http_notifier.py
@@ -8,7 +8,7 @@
 import gevent
 import pytest
 from support.notifications import ended_message
-from support.world import LIMITS, until
+from support.world import LIMITS, wait_until
 
 from ashpath.server.agent_client import Headers
 from ashpath.server.backoff import Backoff
@@ -51,7 +51,7 @@
     for trace_id in "abc":
         notifier.add(ended_message(trace_id))
     running = gevent.spawn(notifier.run)
-    until(lambda: not notifier.has_pending)
+    wait_until(lambda: not notifier.has_pending)
     running.kill()
     return receiver
 
@@ -88,7 +88,7 @@
     notifier.change_receiver(NotificationReceiver(("127.0.0.1", 2), b"/moved"))
     notifier.add(ended_message("a"))
     running = gevent.spawn(notifier.run)
-    until(lambda: not notifier.has_pending)
+    wait_until(lambda: not notifier.has_pending)
     running.kill()
     assert receiver.request_lines == {b"POST /moved HTTP/1.1"}
     assert receiver.headers == [()]
--- a/tests/server/delivery/test_local_faults.py
+++ b/tests/server/delivery/test_local_faults.py
@@ -14,7 +14,7 @@
 
 import gevent
 from gevent import Timeout
-from support.world import World, until
+from support.world import World, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import CallFault, FaultyCall, ProcessFaults
 
@@ -37,7 +37,7 @@
             world.submit(name, "free", "200", number % 4, time_left_ms=TIME_LEFT_MS)
             gevent.sleep(0.02)
         with suppress(Timeout), Timeout(TIME_LEFT_MS / 1000):
-            until(lambda: all(world.attempt_count(name) for name in names))
+            wait_until(lambda: all(world.attempt_count(name) for name in names))
         log = (folder / "log").read_text()
         missing = sum(not world.attempt_count(name) for name in names)
         breakers = log.count("breaker open") + log.count("ailing")
--- a/tests/server/delivery/test_response_classifier.py
+++ b/tests/server/delivery/test_response_classifier.py
@@ -6,7 +6,7 @@
 
 import pytest
 from support.server import live
-from support.world import World, until
+from support.world import World, wait_until
 
 from ashpath.core.interface import AttemptOutcome, LoadReport
 from ashpath.server.delivery.attempts import Attempt, AttemptResult
@@ -86,16 +86,16 @@
         assert world.submit(f"r{number}", case.traffic_class, case.behaviors, number, time_left) == 202
     for number, case in enumerate(DELIVERY_CASES):
         trace_id = f"r{number}"
-        until(lambda trace_id=trace_id, case=case: world.attempt_count(trace_id) >= case.attempts)  # type: ignore[misc]
+        wait_until(lambda trace_id=trace_id, case=case: world.attempt_count(trace_id) >= case.attempts)  # type: ignore[misc]
         if case.notification is not None:
             expected = [case.notification]
-            until(lambda trace_id=trace_id, expected=expected: world.notified(trace_id) == expected)  # type: ignore[misc]
+            wait_until(lambda trace_id=trace_id, expected=expected: world.notified(trace_id) == expected)  # type: ignore[misc]
         assert world.attempt_count(trace_id) == case.attempts, case
         for call in world.attempts.get(trace_id, ()):
             assert call.headers[b"idempotency-key"] == b"tag-r%d" % number
             assert call.path == b"/hook"
             assert 0 < int(call.headers[b"x-expires-in-ms"]) <= 30000
-    until(lambda: not live(world))
+    wait_until(lambda: not live(world))
     assert len(world.notifications) == sum(case.notification is not None for case in DELIVERY_CASES)
 
 
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -16,7 +16,7 @@
 from msgspec.structs import replace
 from support.server import LOG, address_of
 from support.stages import DeliveryStages
-from support.world import LIMITS, World, reset_connection, until
+from support.world import LIMITS, World, reset_connection, wait_until
 
 from ashpath.server.addresses import Address
 from ashpath.server.backoff import Backoff
@@ -139,7 +139,7 @@
     client = DiscoveryClient(address_of(world.servers[1]), LIMITS, 1, listener, Random(1), LOG)
     began = monotonic()
     running = gevent.spawn(client.run)
-    until(lambda: listener.rows)
+    wait_until(lambda: listener.rows)
     assert listener.rows[0] == {"phase": "draining"}
     assert monotonic() - began < min(6.0, LIMITS.watch_s + 2.0)
     running.kill()
@@ -171,7 +171,7 @@
     limits = replace(LIMITS, watch_s=0.01, retry_s=0.01, discovery_rejected_backoff_s=0.01)
     client = DiscoveryClient(agent.address, limits, 5, listener, Random(1), LOG)
     running = gevent.spawn(client.run)
-    until(lambda: len(agent.queries) == 2)
+    wait_until(lambda: len(agent.queries) == 2)
     assert agent.queries == [b"index=5", next_query]
     running.kill()
 
@@ -192,7 +192,7 @@
 
     monkeypatch.setattr("ashpath.server.agent_client.dial", move_and_dial)
     running = gevent.spawn(client.run)
-    until(lambda: len(new.queries) == 2)
+    wait_until(lambda: len(new.queries) == 2)
     assert new.queries == [b"", b"index=7"]
     assert [row["id"] for row in listener.rows] == ["e1"]
     running.kill()
@@ -207,10 +207,10 @@
     new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
     client = DiscoveryClient(old.address, LIMITS, 5, RecordingListener(), Random(1), LOG)
     running = gevent.spawn(client.run)
-    until(lambda: client.pause.active)
+    wait_until(lambda: client.pause.active)
     began = monotonic()
     client.change_address(new.address)
-    until(lambda: new.queries)
+    wait_until(lambda: new.queries)
     assert monotonic() - began < 0.5
     assert new.queries[0] == b""
     assert len(old.queries) == 1
@@ -259,7 +259,7 @@
     world.config["known"] = {"revision": 1, "complete": True, "members": [old]}
     world.configure()
     world.start()
-    until(lambda: world.attempt_count("a") == 1)
+    wait_until(lambda: world.attempt_count("a") == 1)
     assert not connections
     removed.stop()
 
--- a/tests/server/discovery/test_endpoint_list_lease.py
+++ b/tests/server/discovery/test_endpoint_list_lease.py
@@ -17,7 +17,7 @@
 
 import gevent
 from support.drain_play import DrainPlay, Scenario
-from support.world import until
+from support.world import wait_until
 
 from ashpath.emulator.fault_injection.discovery_agent import AgentReply
 from ashpath.emulator.fault_injection.tcp_proxy import FullBacklog
@@ -112,7 +112,7 @@
         drain.start()
         drain.watched()
         drain.drain()
-        until(lambda: drain.agents[0].polls[-1].index == 5)
+        wait_until(lambda: drain.agents[0].polls[-1].index == 5)
         received_at = monotonic()
         if other_agent:
             drain.move(drain.agents[1].address)
--- a/tests/server/http/test_client_connection.py
+++ b/tests/server/http/test_client_connection.py
@@ -10,7 +10,7 @@
 from gevent import Timeout, socket
 from support.server import receive_all, serve, tcp_pair
 from support.stages import SocketPairConnection, client_listener
-from support.world import request, reset_connection, until
+from support.world import request, reset_connection, wait_until
 
 from ashpath.server.http.connection_table import ConnectionState
 from ashpath.server.http.errors import ConnectionClosedError
@@ -48,7 +48,7 @@
                 client.finish_response()
         assert seen == statuses
         client.close()
-        until(
+        wait_until(
             lambda: (
                 not listener.table.count(
                     ConnectionState.AWAITING_FIRST_REQUEST, ConnectionState.IDLE, ConnectionState.READING
@@ -71,7 +71,7 @@
     assert data.count(b"HTTP/1.1") == 1
     assert receiver.events == ["submitted a"]
     far.close()
-    until(lambda: not listener.table.count(ConnectionState.HALF_CLOSED))
+    wait_until(lambda: not listener.table.count(ConnectionState.HALF_CLOSED))
 
 
 @pytest.mark.parametrize("size", [3, 60_000], ids=["short", "long"])
@@ -85,10 +85,10 @@
     served = serve(listener, near)
     if not first:
         far.sendall(request("a", "free", "200", 1))
-        until(lambda: listener.table.count(ConnectionState.IDLE))
+        wait_until(lambda: listener.table.count(ConnectionState.IDLE))
         assert far.recv(999).startswith(b"HTTP/1.1 202 ")
     else:
-        until(lambda: listener.table.count(ConnectionState.AWAITING_FIRST_REQUEST))
+        wait_until(lambda: listener.table.count(ConnectionState.AWAITING_FIRST_REQUEST))
     listener.close_idle()
     far.sendall(request("b", "free", "2" * size, 1))  # no greenlet runs between the two
     assert receive_all(far) == b""
--- a/tests/server/http/test_connection_table.py
+++ b/tests/server/http/test_connection_table.py
@@ -8,7 +8,7 @@
 from gevent import socket
 from support.server import receive_all, serve, tcp_pair
 from support.stages import SocketPairConnection, client_listener
-from support.world import request, until
+from support.world import request, wait_until
 
 from ashpath.server.http.connection_table import ConnectionState
 
@@ -23,12 +23,12 @@
         far.sendall(request(f"s{number}", "free", "200", 1))
         gevent.spawn(listener.serve, SocketPairConnection(near))
         clients.append(SocketPairConnection(far))
-        until(lambda number=number: len(receiver.events) > number)  # type: ignore[misc]  # bound in the loop
+        wait_until(lambda number=number: len(receiver.events) > number)  # type: ignore[misc]  # bound in the loop
     closed = [True] * 3 + [False] * 2
-    until(lambda: [client.closed_by_peer() for client in clients if client.read_response()] == closed)
+    wait_until(lambda: [client.closed_by_peer() for client in clients if client.read_response()] == closed)
     clients[3].write(request("s5", "free", "200", 1))
     assert not listener.table.evict(ConnectionState.IDLE)  # the longest idle one has an unread request
-    until(lambda: len(receiver.events) == 6)
+    wait_until(lambda: len(receiver.events) == 6)
 
 
 def test_half_closed_client_is_evicted_before_active_ones(tmp_path: Path) -> None:
@@ -36,20 +36,20 @@
     listener, _, _ = client_listener(tmp_path, silent_eviction_s=0.0, stalled_request_s=0.0)
     (near, far), (other, asks) = tcp_pair(), tcp_pair()
     staying = serve(listener, near)
-    until(lambda: listener.table.count(ConnectionState.AWAITING_FIRST_REQUEST))
+    wait_until(lambda: listener.table.count(ConnectionState.AWAITING_FIRST_REQUEST))
     listener.close_idle()
     asking = serve(listener, other)
     asks.sendall(b"POST /api HTTP/1.1\r\n")
-    until(lambda: listener.table.count(ConnectionState.READING))
+    wait_until(lambda: listener.table.count(ConnectionState.READING))
     assert listener.table.count(ConnectionState.HALF_CLOSED)
     assert listener.table.evict_one()
-    until(lambda: staying.dead)
+    wait_until(lambda: staying.dead)
     assert not asking.dead
     assert listener.table.count(ConnectionState.READING)
     assert not listener.table.count(ConnectionState.HALF_CLOSED)
     for end in (far, asks):
         end.close()
-    until(lambda: asking.dead)
+    wait_until(lambda: asking.dead)
 
 
 def test_request_with_unread_bytes_is_not_evicted_as_stalled(tmp_path: Path) -> None:
@@ -61,14 +61,14 @@
     for end in (far, stalled):
         end.sendall(data[:40])
     served, evicted = serve(listener, near), serve(listener, other)
-    until(lambda: listener.table.count(ConnectionState.READING) == 2)
+    wait_until(lambda: listener.table.count(ConnectionState.READING) == 2)
     far.sendall(data[40:])
     assert listener.table.evict(ConnectionState.READING)
     assert far.recv(999).startswith(b"HTTP/1.1 202 ")
     assert receiver.events == ["submitted a"]
-    until(lambda: evicted.dead)
+    wait_until(lambda: evicted.dead)
     far.close()
-    until(lambda: served.dead)
+    wait_until(lambda: served.dead)
 
 
 def test_unread_bytes_at_exit_do_not_reset_client(tmp_path: Path) -> None:
@@ -76,7 +76,7 @@
     listener, receiver, _ = client_listener(tmp_path)
     near, far = tcp_pair()
     served = serve(listener, near)
-    until(lambda: listener.table.count(ConnectionState.AWAITING_FIRST_REQUEST))
+    wait_until(lambda: listener.table.count(ConnectionState.AWAITING_FIRST_REQUEST))
     far.sendall(b"POST /api HT")
     connection = listener.table.connections(ConnectionState.AWAITING_FIRST_REQUEST)[0]
     listener.close_all()
--- a/tests/server/http/test_listener.py
+++ b/tests/server/http/test_listener.py
@@ -9,7 +9,7 @@
 from gevent import socket
 from gevent.server import StreamServer
 from support.server import address_of
-from support.world import LIMITS, World, request, reset_connection, until
+from support.world import LIMITS, World, request, reset_connection, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import CallFault, FaultyCall, ProcessFaults
 
@@ -60,7 +60,7 @@
         connection.write(b"POST /api HTTP/1.1\r\n")
     for data, status in STATUS_BY_REQUEST.items():
         assert world.response_status(data) == status, data[:60]
-    until(lambda: world.attempt_count("big") == 1)
+    wait_until(lambda: world.attempt_count("big") == 1)
     assert not world.attempt_count("x")
     assert not world.attempt_count("hidden")
     assert world.process is not None
@@ -96,18 +96,18 @@
         world.submit("owed", "once", "hang", 1, time_left_ms=300) == 202
     )  # its notification cannot be delivered yet
     assert world.operator_command(b"PING\n") == b"OK\n"
-    until(lambda: "event=discovery now=silent" in (world.folder / "log").read_text())
+    wait_until(lambda: "event=discovery now=silent" in (world.folder / "log").read_text())
     descriptors = len(os.listdir(f"/proc/{world.process.pid}/fd"))
     assert descriptors <= 256
     before = world.watches.get(port, 0)
     world.servers[1] = StreamServer(("127.0.0.1", port), world.serve_platform)
     world.servers[1].start()
     began = monotonic()
-    until(lambda: world.watches.get(port, 0) > before and world.notified("owed"))
+    wait_until(lambda: world.watches.get(port, 0) > before and world.notified("owed"))
     assert monotonic() - began < 6
     assert world.operator_command(b"PING\n") == b"OK\n"
     assert world.submit("new", "free", "200", 2) == 202
-    until(lambda: world.attempt_count("new"))
+    wait_until(lambda: world.attempt_count("new"))
     log = (world.folder / "log").read_text()
     assert "unexpected error" not in log
     assert "Too many open files" not in log
@@ -122,6 +122,6 @@
     world.faults = ProcessFaults((CallFault(FaultyCall.ACCEPT, "EINVAL", skip=3, count=3),))
     world.start()
     statuses = [world.submit(f"m{number}", "free", "200", 1) for number in range(8)]
-    until(lambda: "listening socket lost" in (world.folder / "log").read_text())
+    wait_until(lambda: "listening socket lost" in (world.folder / "log").read_text())
     assert world.submit("later", "free", "200", 1) == 202
     assert statuses.count(202) >= 5  # those in the lost socket's backlog are reset, and retried
--- a/tests/server/metrics/test_metrics.py
+++ b/tests/server/metrics/test_metrics.py
@@ -11,7 +11,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 from support.server import reload_configuration
 from support.standalone import Alone
-from support.world import LIMITS, SETTINGS, World, free_address, until
+from support.world import LIMITS, SETTINGS, World, free_address, wait_until
 
 from ashpath.server.addresses import Address
 from ashpath.server.http.connection import open_connection
@@ -53,7 +53,7 @@
     after the log line."""
     listen = address and {"listen": f"{address[0]}:{address[1]}"}
     reload_configuration(world, event, metrics=listen)
-    until(lambda: address is None or is_listening(address))
+    wait_until(lambda: address is None or is_listening(address))
 
 
 def test_scrape_shows_counters_and_gauges_of_deliveries(world: World) -> None:
@@ -65,7 +65,7 @@
     for trace_id, traffic_class, destination, body in SUBMITTED:
         assert world.submit(trace_id, traffic_class, body, destination) == 202
     assert world.submit("f", "free", "200", 6, time_left_ms=300) == 202
-    until(lambda: world.notified("c") and world.notified("f") and scrape(address).get(DELIVERED) == 2)
+    wait_until(lambda: world.notified("c") and world.notified("f") and scrape(address).get(DELIVERED) == 2)
     samples = scrape(address)
     specifics = SETTINGS["specifics"]
     assert isinstance(specifics, dict)
@@ -117,7 +117,7 @@
     in_use.listen(1)
     move_metrics(old, "configuration read", first)
     assert old.submit("a", "free", "200", 0) == 202
-    until(lambda: scrape(first).get(DELIVERED) == 1)
+    wait_until(lambda: scrape(first).get(DELIVERED) == 1)
     move_metrics(old, "metrics address not changed", in_use.getsockname())
     assert scrape(first)[DELIVERED] == 1
     for before, after in ((first, second), (second, None)):
@@ -127,11 +127,11 @@
             scrape(before)
     move_metrics(old, "configuration read", first)
     assert old.submit("b", "free", "200", 0) == 202
-    until(lambda: scrape(first)[DELIVERED] == 2)
+    wait_until(lambda: scrape(first)[DELIVERED] == 2)
     new.start()
     assert scrape(first)[DELIVERED] == 2
     assert old.kill() == -9
-    until(lambda: is_listening(first))
+    wait_until(lambda: is_listening(first))
     assert DELIVERED not in scrape(first)
 
 
--- a/tests/server/storage/test_stored_data_at_start.py
+++ b/tests/server/storage/test_stored_data_at_start.py
@@ -7,7 +7,7 @@
 
 from support.standalone import Alone
 from support.stored_data import STORED
-from support.world import World, until
+from support.world import World, wait_until
 
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
@@ -27,14 +27,14 @@
     """A process that starts on the stored state directory ends each message as its traffic class allows."""
     shutil.copytree(STORED / "platform", world.folder / "state", dirs_exist_ok=True)
     world.start()
-    until(lambda: len(world.notifications) >= 5 and len(world.attempts) >= 3)
+    wait_until(lambda: len(world.notifications) >= 5 and len(world.attempts) >= 3)
     reported = {line["id"]: (line["status"], line.get("again_ms")) for line in world.notifications}
     undeliverable = dict.fromkeys(["p-owed", "p-tried", "p-out", "p-orphan-out"], ("undeliverable", None))
     assert reported == {**undeliverable, "p-deferred": ("deferred", 500)}
     assert set(world.attempts) == {"p-waiting", "p-ran", "p-ran-and-out"}
     # These messages wait for the endpoint that an operator has detached.
     waiting = ["p-bytes", "p-empty", "p-orphan-waiting"]
-    until(lambda: [message.trace_id for message in live_messages(world)] == waiting)
+    wait_until(lambda: [message.trace_id for message in live_messages(world)] == waiting)
 
 
 def live_messages(world: World) -> list[StoredMessage]:
--- a/tests/server/test_adoption.py
+++ b/tests/server/test_adoption.py
@@ -6,7 +6,7 @@
 
 import gevent
 import structlog
-from support.world import until
+from support.world import wait_until
 
 from ashpath.server.adoption import OrphanAdopter
 from ashpath.server.storage.stored_message import StoredMessage
@@ -40,7 +40,7 @@
     greenlet = gevent.spawn(OrphanAdopter(ours, adopter, INTERVAL_S, structlog.get_logger()).run)
     try:
         theirs.close()
-        until(lambda: adopter.calls)
+        wait_until(lambda: adopter.calls)
     finally:
         greenlet.kill()
         ours.close()
--- a/tests/server/test_clock_steps.py
+++ b/tests/server/test_clock_steps.py
@@ -13,7 +13,7 @@
 
 import gevent
 from gevent import Timeout
-from support.world import World, until
+from support.world import World, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import ClockStep, ProcessFaults
 
@@ -30,12 +30,12 @@
         world.start()
         world.submit("long", "free", "hang 200", 1, time_left_ms=LONG_MS)
         world.submit("short", "free", "hang hang hang hang", 2, time_left_ms=SHORT_MS)
-        until(lambda: world.attempt_count("long") and world.attempt_count("short"))
+        wait_until(lambda: world.attempt_count("long") and world.attempt_count("short"))
         world.kill()
         world.faults = ProcessFaults(clock=(ClockStep(0.0, step_s),))
         world.start()
         with suppress(Timeout), Timeout(NOTICE_DUE_S):
-            until(lambda: world.attempt_count("long") == 2 and world.notified("short"))
+            wait_until(lambda: world.attempt_count("long") == 2 and world.notified("short"))
         given_up = bool(world.notified("long")) or world.attempt_count("long") < 2
         late = not world.notified("short")
         return f"long given up: {given_up}, short late: {late}" if given_up or late else ""
--- a/tests/server/test_gossip.py
+++ b/tests/server/test_gossip.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gevent import socket
-from support.world import free_address, until
+from support.world import free_address, wait_until
 
 from ashpath.server.addresses import Address
 from ashpath.server.gossip import MAX_MESSAGE_BYTES, Gossip
@@ -40,19 +40,19 @@
 def test_a_message_reaches_who_names_its_sender(peers: tuple[Peer, Peer]) -> None:
     ours, theirs = peers
     theirs.gossip.publish(b"first")
-    until(lambda: ours.received == [b"first"])
+    wait_until(lambda: ours.received == [b"first"])
 
 
 def test_garbage_and_strangers_are_dropped(peers: tuple[Peer, Peer]) -> None:
     """Each is counted; the first, second and fourth are logged."""
     ours, theirs = peers
     theirs.gossip.publish(b"first")
-    until(lambda: ours.received == [b"first"])
+    wait_until(lambda: ours.received == [b"first"])
     theirs.gossip.publish(b"x" * (MAX_MESSAGE_BYTES + 44))  # too long: it is not even sent
     assert theirs.gossip.sent == 1
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         assert [stranger.sendto(b"back 7 x1", ours.address) for _ in range(5)] == [9] * 5
-        until(lambda: ours.gossip.dropped == 5)
+        wait_until(lambda: ours.gossip.dropped == 5)
     assert ours.received == [b"first"]
     assert ours.logger.info.call_count == 3
 
@@ -66,4 +66,4 @@
     with pytest.raises(OSError, match="in use"):
         ours.gossip.change_addresses(theirs.address, frozenset())
     theirs.gossip.publish(b"still received")
-    until(lambda: ours.received == [b"still received"])
+    wait_until(lambda: ours.received == [b"still received"])
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -7,7 +7,7 @@
 import gevent
 from support.loggers import no_errors
 from support.server import READY, terminate
-from support.world import World, request, until
+from support.world import World, request, wait_until
 
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.storage.detached_endpoints import DetachedEndpoints
@@ -21,7 +21,7 @@
     new.start()  # no second bind: both take from one queue
     terminate(old)
     assert new.submit("u2", "free", "200", 4) == 202
-    until(lambda: new.attempt_count("u2") == 1)
+    wait_until(lambda: new.attempt_count("u2") == 1)
     assert live.receive() is False or not len(live.buffer)  # the old one closed it: its client moves on
     assert new.notified("u1") == ["deferred"]  # one end, told once, by whichever process had it
 
@@ -58,8 +58,8 @@
     asked.append(slow.read_response())
     assert [(answer.status, answer.keep_alive) for answer in asked] == [(202, False)] * 5
     assert kept[3].receive() is False  # idle all along: closed in time
-    until(lambda: old.process is not None and old.process.poll() is not None)
-    until(lambda: all(new.attempt_count(trace) == 1 for trace in ("d0", "d1", "d2", "d3", "d-slow")))
+    wait_until(lambda: old.process is not None and old.process.poll() is not None)
+    wait_until(lambda: all(new.attempt_count(trace) == 1 for trace in ("d0", "d1", "d2", "d3", "d-slow")))
     assert not any(new.notified(trace) for trace in ("d0", "d1", "d2", "d3", "d-slow"))
 
 
@@ -73,5 +73,5 @@
     assert DetachedEndpoints(old.folder / "state", no_errors()).read() == {"e5", "e6"}
     assert new.submit("b5", "free", "200", 5, time_left_ms=2500) == 202
     assert new.submit("b6", "free", "200", 6, time_left_ms=2500) == 202
-    until(lambda: new.notified("b5") and new.notified("b6"))
+    wait_until(lambda: new.notified("b5") and new.notified("b6"))
     assert new.attempt_count("b5") == new.attempt_count("b6") == 0
--- a/tests/server/test_log_writer.py
+++ b/tests/server/test_log_writer.py
@@ -8,7 +8,7 @@
 
 import gevent
 import pytest
-from support.world import until
+from support.world import wait_until
 
 from ashpath.server.log_writer import MAX_PENDING_BYTES, LogWriter
 
@@ -80,5 +80,5 @@
 def test_a_line_longer_than_a_piece_is_whole(pipe: tuple[int, int]) -> None:
     writer = LogWriter(pipe[1])
     writer.msg("z" * 9999)
-    until(writer.flush)
+    wait_until(writer.flush)
     assert os.read(pipe[0], 1 << 20) == b"z" * 9999 + b"\n"
--- a/tests/server/test_optional_services.py
+++ b/tests/server/test_optional_services.py
@@ -4,7 +4,7 @@
 
 from gevent import socket
 from support.server import reload_configuration
-from support.world import SETTINGS, World, until
+from support.world import SETTINGS, World, wait_until
 
 
 def bound_socket() -> socket.socket:
@@ -31,7 +31,7 @@
     world.start()
     assert world.submit("a", "free", "200", 3) == 202
     log = world.folder / "log"
-    until(lambda: "ailing" in log.read_text() and "gossip not received" in log.read_text())
+    wait_until(lambda: "ailing" in log.read_text() and "gossip not received" in log.read_text())
     taken.close()
     world.members[3]["host_port"] = world.members[5]["host_port"]
     other_agent = f"127.0.0.1:{world.servers[2].server_port}"
--- a/tests/server/test_policy_runner.py
+++ b/tests/server/test_policy_runner.py
@@ -9,7 +9,7 @@
 import gevent
 import pytest
 from support.stages import read_request
-from support.world import LIMITS, World, request, until
+from support.world import LIMITS, World, request, wait_until
 
 from ashpath.server.http.admission import AdmissionResult
 from ashpath.server.http.connection import HttpConnection
@@ -44,16 +44,16 @@
     data = request("a", "once", "slow 200", 1)
     message, result = submit(sender, data)
     assert result.status is HTTPStatus.ACCEPTED
-    until(lambda: world.attempt_count("a") == 1)
+    wait_until(lambda: world.attempt_count("a") == 1)
     runner.client_disconnected(message)
     assert submit(sender, data)[1] == AdmissionResult(HTTPStatus.CONFLICT)
     assert live[message.message_id].in_flight_since is not None
     assert not runner.messages
-    until(lambda: not runner.attempts)
+    wait_until(lambda: not runner.attempts)
     assert not live
     assert not runner.abandoned
     assert submit(sender, data)[1] == AdmissionResult(HTTPStatus.ACCEPTED)
-    until(lambda: world.attempt_count("a") == 2 and not runner.attempts)
+    wait_until(lambda: world.attempt_count("a") == 2 and not runner.attempts)
 
 
 @pytest.mark.parametrize("retry_after", [None, 0, 1_500_000])
@@ -101,7 +101,7 @@
     assert not runner.attempts
     assert submit(sender, request("b", "free", "200", 2))[1].status is HTTPStatus.ACCEPTED
     assert published == [b"back 1 e1"]
-    until(lambda: not runner.attempts)
+    wait_until(lambda: not runner.attempts)
 
 
 def test_the_next_of_an_ordering_key_waits_for_the_notification_of_the_one_before(
@@ -122,14 +122,16 @@
     assert world.submit("one", "tag", "hang", 1, time_left_ms=700, ordering_key="k") == 202
     assert world.submit("two", "tag", "200", 1, ordering_key="k") == 202
     assert world.submit("other", "tag", "200", 2, ordering_key="j") == 202
-    until(lambda: world.notifications_to_reject < 10**6 - 2)  # its notification is pending, and was rejected
-    until(lambda: world.attempt_count("other") > 0)
+    wait_until(
+        lambda: world.notifications_to_reject < 10**6 - 2
+    )  # its notification is pending, and was rejected
+    wait_until(lambda: world.attempt_count("other") > 0)
     world.kill()
     world.start()
-    until(lambda: world.notifications_to_reject < 10**6 - 6)
+    wait_until(lambda: world.notifications_to_reject < 10**6 - 6)
     assert not world.attempt_count("two")
     world.notifications_to_reject = 0
-    until(lambda: world.attempt_count("two") > 0)
+    wait_until(lambda: world.attempt_count("two") > 0)
     assert ("two", True) in seen
     assert ("two", False) not in seen
 
@@ -152,6 +154,6 @@
     gevent.get_hub().loop.update_now()  # the start took a while, and its timers count from before
     assert submit(sender, request("a", "once", "200", 1))[1].status is HTTPStatus.ACCEPTED
     assert len(refused) == 1
-    until(lambda: world.attempt_count("a") == 1 and not write_ahead_log.messages.live)
+    wait_until(lambda: world.attempt_count("a") == 1 and not write_ahead_log.messages.live)
     assert len(refused) == 3
     assert refused[2] - refused[0] > 1.5 * LIMITS.retry_s
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent import subprocess
 from support.server import address_of
-from support.world import World, until
+from support.world import World, wait_until
 
 
 def said_again(log: Path, event: str, before: int) -> bool:
@@ -35,26 +35,26 @@
         before = log.read_text().count("configuration not read")
         (world.folder / "config.json").write_text(text)
         world.process.send_signal(signal.SIGHUP)
-        until(partial(said_again, log, "configuration not read", before))
+        wait_until(partial(said_again, log, "configuration not read", before))
     old = world.servers[1]
     new_agent = address_of(world.servers[2])
     world.config["discovery"] = f"127.0.0.1:{new_agent[1]}"
     world.members[7]["host_port"] = "127.0.0.1:1"  # told by the new agent only, under a revision of the old
     world.configure()
     world.process.send_signal(signal.SIGHUP)
-    until(lambda: log.read_text().count("configuration read") == 1)
+    wait_until(lambda: log.read_text().count("configuration read") == 1)
     assert "settings applied" not in log.read_text()
     old.stop(timeout=0)
-    until(lambda: world.watches.get(new_agent[1], 0) > 1)  # so the first list has been read
+    wait_until(lambda: world.watches.get(new_agent[1], 0) > 1)  # so the first list has been read
     assert world.submit("h0", "once", "200", 7, 1500) == 202
     assert world.submit("h1", "free", "200", 1) == 202
-    until(lambda: world.notified("h0") and world.attempt_count("h1"))
+    wait_until(lambda: world.notified("h0") and world.attempt_count("h1"))
     assert world.process.poll() is None
     assert not world.attempt_count("h0")
     world.kill()
     world.start()  # the environment still names the old address
     assert world.submit("h2", "once", "200", 7, 1500) == 202
-    until(lambda: world.notified("h2"))
+    wait_until(lambda: world.notified("h2"))
 
 
 def test_sighup_before_the_sender_runs(world: World) -> None:
@@ -71,8 +71,10 @@
     world.process.send_signal(signal.SIGHUP)
     os.write(file, text.encode())
     os.close(file)
-    until(lambda: "event=ready" in (world.folder / "log").read_text())  # or both texts may be read as one
+    wait_until(
+        lambda: "event=ready" in (world.folder / "log").read_text()
+    )  # or both texts may be read as one
     again = gevent.get_hub().threadpool.spawn(lambda: path.write_text(text))
-    until(lambda: "configuration read" in (world.folder / "log").read_text())
+    wait_until(lambda: "configuration read" in (world.folder / "log").read_text())
     again.get()
     assert world.process.poll() is None
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -8,7 +8,7 @@
 import gevent
 from gevent.server import StreamServer
 from support.server import live
-from support.world import LIMITS, World, free_address, until
+from support.world import LIMITS, World, free_address, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import CallFault, FaultyCall, ProcessFaults
 from ashpath.server.storage.stored_message import StoredMessage
@@ -27,27 +27,29 @@
     world.start()
     for number, track in enumerate(("free", "tag", "once")):
         world.submit(f"k{number}", track, "hang 200", number)
-        until(partial(attempted, world, f"k{number}"))
+        wait_until(partial(attempted, world, f"k{number}"))
     world.submit("late", "tag", "hang", 5, time_left_ms=100)
     world.members[6]["host_port"] = "127.0.0.1:1"
     world.submit("first", "tag", "hang slow", 7, ordering_key="a")
-    until(lambda: world.attempt_count("first") == 1)
+    wait_until(lambda: world.attempt_count("first") == 1)
     assert world.submit("second", "tag", "200", 7, ordering_key="a") == 202
     # Its notice is off the ledger: one whose 204 a kill cuts off is told again, and causes no harm.
-    until(lambda: world.notified("late") and "late" not in [entry.trace_id for entry in live(world).values()])
+    wait_until(
+        lambda: world.notified("late") and "late" not in [entry.trace_id for entry in live(world).values()]
+    )
     assert world.kill() == -signal.SIGKILL
     world.start()
-    until(lambda: world.notified("k2"))
+    wait_until(lambda: world.notified("k2"))
     assert world.notified("k2") == ["undeliverable"]
     assert world.attempt_count("k2") == 1
-    until(
+    wait_until(
         lambda: world.attempt_count("k0") == world.attempt_count("k1") == 2
         and world.attempt_count("second") == 1
     )
     assert world.attempts["k1"][0].body == world.attempts["k1"][1].body
     assert list(world.attempts).index("second") > list(world.attempts).index("first")
     assert world.attempt_count("first") == 2
-    until(lambda: not live(world))
+    wait_until(lambda: not live(world))
     assert [line["id"] for line in world.notifications] == ["late", "k2"]
 
 
@@ -63,7 +65,7 @@
             world.kill()
             world.start()
     assert len(taken) == 36
-    until(lambda: not live(world))
+    wait_until(lambda: not live(world))
     for trace, track in taken.items():
         ends = world.notified(trace)
         assert ends == (["undeliverable"] if track == "once" and ends else []), (trace, ends)
@@ -87,7 +89,7 @@
     ledger.close()
     world.notifications_to_reject = 2
     world.start()
-    until(lambda: len(world.notifications) == 4)
+    wait_until(lambda: len(world.notifications) == 4)
     ends = {line["id"]: line["status"] for line in world.notifications}
     assert ends == {"o0": "undeliverable", "o1": "deferred", "o2": "undeliverable", "o3": "deferred"}
     assert not world.attempts
@@ -103,16 +105,16 @@
     world.configure()
     world.start()
     assert world.submit("well", "free", "200", 2) == 202
-    until(lambda: world.attempt_count("well"))
+    wait_until(lambda: world.attempt_count("well"))
     gevent.sleep(1.6)  # an outage is one where nothing has succeeded for so long
     for number in range(5):
         assert world.submit(f"h{number}", "free", "200", 3) == 202
-    until(lambda: "destination 3 ailing" in (world.folder / "log").read_text())
+    wait_until(lambda: "destination 3 ailing" in (world.folder / "log").read_text())
     world.kill()
     back = StreamServer(where, world.serve_endpoint)
     back.start()
     world.start()
-    until(lambda: any(world.attempt_count(f"h{number}") for number in range(5)))
+    wait_until(lambda: any(world.attempt_count(f"h{number}") for number in range(5)))
     gevent.sleep(0.2)
     assert sum(world.attempt_count(f"h{number}") for number in range(5)) == 1  # of five that were held
     back.stop()
@@ -123,4 +125,4 @@
     world.faults = ProcessFaults((CallFault(FaultyCall.SOCKET, "ENFILE", skip=1, count=5),))
     world.start()
     assert world.submit("a", "free", "200", 1) == 202
-    until(lambda: world.attempt_count("a") == 1)
+    wait_until(lambda: world.attempt_count("a") == 1)
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -10,7 +10,7 @@
 import pytest
 from gevent import subprocess
 from support.server import live, reload_configuration
-from support.world import SETTINGS, World, until
+from support.world import SETTINGS, World, wait_until
 
 from ashpath.server.storage.traffic_class_ids import TrafficClassIds
 
@@ -69,14 +69,14 @@
             assert world.submit(f"{way}{state}{name}", name, body, destination) == 202
             attempts[f"{way}{state}{name}"] = count
         in_flight = [trace for trace in attempts if "in flight" in trace]
-        until(partial(all_attempted, world, in_flight))
+        wait_until(partial(all_attempted, world, in_flight))
         reload_configuration(world, "settings applied", settings=settings)
         assert world.submit(f"{way}new", new, "200", 1) == 202
         assert world.submit("old", before[0], "200", 1) == 400
         attempts[f"{way}new"] = 1
     assert "max_in_flight=64 " in (world.folder / "log").read_text(), "as many as there are connections"
     list_elsewhere(world, 6)
-    until(lambda: all(world.attempt_count(name) for name in attempts) and not live(world))
+    wait_until(lambda: all(world.attempt_count(name) for name in attempts) and not live(world))
     assert not world.notifications
     assert {name: world.attempt_count(name) for name in attempts} == attempts
 
@@ -85,7 +85,7 @@
     """The next incarnation reads them as the killed one gave them; where unwritten, nothing is switched."""
     world.start()
     assert world.submit("f", "free", "hang 200", 1) == world.submit("o", "once", "hang", 2) == 202
-    until(lambda: world.attempt_count("f") and world.attempt_count("o"))
+    wait_until(lambda: world.attempt_count("f") and world.attempt_count("o"))
     state = world.folder / "state"
     (state / "track-numbers.new").mkdir()
     reload_configuration(world, "configuration not applied", settings=SWITCHED)
@@ -93,11 +93,11 @@
     (state / "track-numbers.new").rmdir()
     reload_configuration(world, "settings applied")
     assert world.submit("l", "label", "hang 200", 3) == 202
-    until(lambda: world.attempt_count("l"))
+    wait_until(lambda: world.attempt_count("l"))
     world.kill()
     assert [row["name"] for row in TrafficClassIds(state).read()] == ["free", "tag", "once", "label", "once"]
     world.start()
-    until(
+    wait_until(
         lambda: world.notified("o")
         and world.attempt_count("f") == world.attempt_count("l") == 2
         and not live(world)
@@ -109,7 +109,7 @@
     world.start()  # no message is live: ids begin anew
     assert not TrafficClassIds(state).read()
     assert world.submit("x", "label", "200", 3) == 202
-    until(lambda: world.attempt_count("x") == 1)
+    wait_until(lambda: world.attempt_count("x") == 1)
 
 
 NO_ADDRESS = "metrics.listen: found {}, expected an address with a port"
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 from support.server import live
-from support.world import LIMITS, SETTINGS, World, request, reset_connection, until
+from support.world import LIMITS, SETTINGS, World, request, reset_connection, wait_until
 
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
@@ -26,9 +26,9 @@
     assert kept.read_response().status == 202
     kept.finish_response()
     world.submit("t1", "tag", "hang 200", 1)
-    until(lambda: world.attempt_count("t0") and world.attempt_count("t1"))
+    wait_until(lambda: world.attempt_count("t0") and world.attempt_count("t1"))
     world.process.send_signal(signal.SIGTERM)
-    until(lambda: world.response_status(encode_message(b"GET /health/ready HTTP/1.1", [], b"")) == 503)
+    wait_until(lambda: world.response_status(encode_message(b"GET /health/ready HTTP/1.1", [], b"")) == 503)
     kept.write(request("t2", "free", "200", 2))  # in the time in which connections still come
     answer = kept.read_response()
     assert answer.status == 202
@@ -36,14 +36,14 @@
     assert answer.headers[b"connection"] == b"close"
     assert not idle.receive()  # closed as that time is over
     assert world.submit("t3", "free", "200", 3) == 503
-    until(lambda: world.process is None or world.process.poll() is not None)
+    wait_until(lambda: world.process is None or world.process.poll() is not None)
     assert world.process.returncode == 0
     assert world.attempt_count("t2") == 1
     assert not world.attempt_count("t3")
     assert [entry.trace_id for entry in live(world).values()] == ["t1"]
     world.start()
-    until(lambda: world.attempt_count("t1") == 2)
-    until(lambda: not live(world))
+    wait_until(lambda: world.attempt_count("t1") == 2)
+    wait_until(lambda: not live(world))
     assert world.attempt_count("t0") == 1
     assert not world.notifications
 
@@ -54,7 +54,7 @@
     assert world.process is not None
     hold = request("out", "once", "hang", 1)
     assert world.response_status(hold) == 202
-    until(lambda: world.attempt_count("out"))
+    wait_until(lambda: world.attempt_count("out"))
     began = monotonic()
     world.process.send_signal(signal.SIGTERM)
     gevent.sleep(1.2)
@@ -64,7 +64,7 @@
     wire.write(b"POST /api HTTP/1.1\r\n")
     assert wire.read_response().status == 503
     assert monotonic() - began < 3.45
-    until(lambda: world.process is None or world.process.poll() is not None)
+    wait_until(lambda: world.process is None or world.process.poll() is not None)
     assert world.process.returncode == 0
     assert monotonic() - began < 3.7
 
@@ -90,7 +90,7 @@
     assert world.process is not None
     for trace in ("first", "second"):
         assert world.submit(trace, "tag", "200", 1, ordering_key="k") == 202
-    until(lambda: drained)  # the first hangs there; the second waits behind it
+    wait_until(lambda: drained)  # the first hangs there; the second waits behind it
     world.notifications_to_reject = 10**6
     assert world.submit("given-up", "once", "hang", 2, time_left_ms=300) == 202
     world.process.send_signal(signal.SIGTERM)
@@ -98,13 +98,13 @@
     rows = [*world.members, {**world.members[1], "phase": "draining"}, successor]
     world.config["known"] = {"revision": 9, "complete": True, "members": rows}
     before = sum(world.watches.values())
-    until(lambda: sum(world.watches.values()) > before + 1)  # so the drain is known
+    wait_until(lambda: sum(world.watches.values()) > before + 1)  # so the drain is known
     told.set()  # its call ends, and may be made again
-    until(lambda: world.process is None or world.process.poll() is not None)
+    wait_until(lambda: world.process is None or world.process.poll() is not None)
     assert len(drained) == 1
     world.notifications_to_reject = 0
     world.configure()
     world.start()
-    until(lambda: world.attempt_count("second") == 1 and world.notified("given-up"))
+    wait_until(lambda: world.attempt_count("second") == 1 and world.notified("given-up"))
     assert len(drained) == 1
     old.stop(timeout=0)
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -6,7 +6,7 @@
 
 import gevent
 import pytest
-from support.world import until
+from support.world import wait_until
 
 from ashpath.server.timers import Timers, now
 
@@ -44,15 +44,15 @@
     timers.add(due + 2, "second")
     timers.add(due, "first")
     timers.add(due + 2, "third, as it was scheduled later")
-    until(lambda: listener.calls)
+    wait_until(lambda: listener.calls)
     assert listener.calls == [["first", "second", "third, as it was scheduled later"]]
 
 
 def test_a_timer_fires_once(timers: Timers, listener: RecordingListener) -> None:
     timers.add(now(), "once")
-    until(lambda: listener.calls)
+    wait_until(lambda: listener.calls)
     timers.add(now(), "later")
-    until(lambda: len(listener.calls) == 2)
+    wait_until(lambda: len(listener.calls) == 2)
     assert listener.calls == [["once"], ["later"]]
 
 
@@ -62,7 +62,7 @@
     timers.add(now() + FAR, "far")
     gevent.sleep(0)  # the loop waits for it now
     timers.add(now(), "near")
-    until(lambda: listener.calls)
+    wait_until(lambda: listener.calls)
     assert listener.calls == [["near"]]
     assert [timer.token for timer in timers.heap] == ["far"]
 
--- a/tests/server/test_upgrade_between_releases.py
+++ b/tests/server/test_upgrade_between_releases.py
@@ -14,7 +14,7 @@
 import pytest
 from gevent.pool import Group
 from support.server import terminate
-from support.world import ROOT, World, until
+from support.world import ROOT, World, wait_until
 
 EARLIER = ROOT / "tests" / "fixtures" / "releases" / "ashpath-3949f73.zip"
 RELEASES = [(EARLIER, ROOT), (ROOT, EARLIER)]
@@ -62,22 +62,22 @@
     """Under load, with messages queued and in flight at the process that ends."""
     old, new = restart(pair, first, second)
     load = Load(old)
-    until(lambda: len(load.accepted) > 20)
+    wait_until(lambda: len(load.accepted) > 20)
     assert old.submit("in-flight", "once", "hang", 1, time_left_ms=8000) == 202
-    until(lambda: old.attempt_count("in-flight") == 1)
+    wait_until(lambda: old.attempt_count("in-flight") == 1)
     new.start()
     assert old.kill(by) == (0 if by is signal.SIGTERM else -signal.SIGKILL)
     before = len(load.accepted)
-    until(lambda: len(load.accepted) > before + 20)
+    wait_until(lambda: len(load.accepted) > before + 20)
     accepted = load.stop()
     # An attempt is recorded before it is sent: one that the kill kept from being sent may have run, as far as
     # the record says, and ends by its notice.
-    until(lambda: all(new.attempt_count(trace) or new.notified(trace) for trace in accepted))
+    wait_until(lambda: all(new.attempt_count(trace) or new.notified(trace) for trace in accepted))
     assert [trace for trace in accepted if new.attempt_count(trace) > 1] == []
     untried = [trace for trace in accepted if not new.attempt_count(trace)]
     assert all(new.notified(trace) == ["undeliverable"] for trace in untried)
     assert len(untried) <= (0 if by is signal.SIGTERM else CLIENTS)
-    until(lambda: new.notified("in-flight"))
+    wait_until(lambda: new.notified("in-flight"))
     assert new.notified("in-flight") == ["undeliverable"]
     assert new.attempt_count("in-flight") == 1
 
@@ -92,7 +92,7 @@
     terminate(old)
     for destination in (5, 6):
         assert new.submit(f"detached-{destination}", "free", "200", destination, time_left_ms=2500) == 202
-    until(lambda: new.notified("detached-5") and new.notified("detached-6"))
+    wait_until(lambda: new.notified("detached-5") and new.notified("detached-6"))
     assert new.attempt_count("detached-5") == new.attempt_count("detached-6") == 0
 
 
@@ -103,12 +103,12 @@
     old, new = restart(pair, first, second)
     new.start()
     assert old.submit("rejected", "free", "wait 200", 7) == 202
-    until(lambda: old.attempt_count("rejected") == 1)
+    wait_until(lambda: old.attempt_count("rejected") == 1)
     received = monotonic()
     old.kill()
     assert new.submit("next", "free", "200", 7) == 202
     assert monotonic() - received < 1.0
-    until(lambda: new.attempt_count("next") == 1)
+    wait_until(lambda: new.attempt_count("next") == 1)
     assert monotonic() - received > 1.8
 
 
--- a/tests/support/drain_play.py
+++ b/tests/support/drain_play.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from support.world import LIMITS, SETTINGS, World, until
+from support.world import LIMITS, SETTINGS, World, wait_until
 
 STAYING, LEAVING = 1, 2  # destinations, each with one endpoint
 SUBMISSION_PAUSE_S = 0.03
@@ -87,8 +87,8 @@
 
     def watched(self) -> None:
         """Returns as a watch of the first agent is open."""
-        until(lambda: self.agents[0].polls and self.agents[0].polls[-1].index is not None)
-        until(lambda: self.leaves.calls and self.stays.calls)
+        wait_until(lambda: self.agents[0].polls and self.agents[0].polls[-1].index is not None)
+        wait_until(lambda: self.leaves.calls and self.stays.calls)
 
     def drain(self, agent: int = 0) -> None:
         """An agent has the drain from now on."""
@@ -102,7 +102,7 @@
         log = self.world.folder / "log"
         before = log.read_text().count(CONFIGURATION_READ)
         self.world.process.send_signal(signal.SIGHUP)
-        until(lambda: log.read_text().count(CONFIGURATION_READ) > before)
+        wait_until(lambda: log.read_text().count(CONFIGURATION_READ) > before)
 
     def last_call(self) -> float:
         """When the draining endpoint was last called."""
--- a/tests/support/server.py
+++ b/tests/support/server.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.listener import ClientListener
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
-from support.world import LIMITS, World, until
+from support.world import LIMITS, World, wait_until
 
 
 def live(world: World) -> dict[int, StoredMessage]:
@@ -54,7 +54,7 @@
     world.configure()
     assert world.process is not None
     world.process.send_signal(signal.SIGHUP)
-    until(lambda: log.read_text().count(event) > before)
+    wait_until(lambda: log.read_text().count(event) > before)
 
 
 def receive_all(far: socket.socket) -> bytes:
@@ -78,5 +78,5 @@
     """Ends a sender by SIGTERM, and waits until its process is over, in order."""
     assert world.process is not None
     world.process.send_signal(signal.SIGTERM)
-    until(lambda: world.process is not None and world.process.poll() is not None)
+    wait_until(lambda: world.process is not None and world.process.poll() is not None)
     assert world.process.returncode == 0
--- a/tests/support/standalone.py
+++ b/tests/support/standalone.py
@@ -13,7 +13,7 @@
 from gevent import subprocess
 
 from ashpath.server.http.encoding import encode_message
-from support.world import ROOT, World, until
+from support.world import ROOT, World, wait_until
 
 TRACKS = """
 [tracks.free]
@@ -87,7 +87,9 @@
                 env=env,
                 preexec_fn=preexec_fn,
             )
-        until(lambda: self.response_status(encode_message(b"GET /health/ready HTTP/1.1", [], b"")) == 200)
+        wait_until(
+            lambda: self.response_status(encode_message(b"GET /health/ready HTTP/1.1", [], b"")) == 200
+        )
 
     def run(
         self, *words: str, input: str | None = None, preexec_fn: Callable[[], object] | None = None
@@ -108,7 +110,7 @@
         before = self.lines("configuration ")
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
-        until(lambda: len(self.lines("configuration ")) > len(before))
+        wait_until(lambda: len(self.lines("configuration ")) > len(before))
         return self.lines("configuration ")[-1]
 
     def lines(self, words: str) -> list[str]:
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -70,7 +70,7 @@
 }
 
 
-def until(condition: Callable[[], object]) -> None:
+def wait_until(condition: Callable[[], object]) -> None:
     """Waits as long as it takes, within reason."""
     with Timeout(20):
         while not condition():
@@ -192,13 +192,13 @@
                 pass_fds=descriptors,
             )
         # This process, not another on the same socket.
-        until(lambda: self.operator_command(b"PING\n") == b"OK\n")
+        wait_until(lambda: self.operator_command(b"PING\n") == b"OK\n")
 
     def kill(self, signal_number: int = signal.SIGKILL) -> int:
         """Ends the sender with a signal; its exit code."""
         assert self.process is not None
         self.process.send_signal(signal_number)
-        until(lambda: self.process is None or self.process.poll() is not None)
+        wait_until(lambda: self.process is None or self.process.poll() is not None)
         code: int = self.process.returncode
         self.process = None
         return code
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from support.world import ROOT, World, until
+from support.world import ROOT, World, wait_until
 
 from ashpath.core.interface import PolicySettings, RetrySafety
 from ashpath.core.policy_settings import sender_settings
@@ -141,11 +141,11 @@
     for number, row in enumerate(site["class"]):
         at_most_once = row["effect"] == "unsafe"
         failing = f"bad{number}"
-        until(partial(called, world, 1, f"good{number}", f"next{number}"))
+        wait_until(partial(called, world, 1, f"good{number}", f"next{number}"))
         if at_most_once:
-            until(partial(world.notified, failing))
+            wait_until(partial(world.notified, failing))
         else:
-            until(partial(called, world, 2, failing))
+            wait_until(partial(called, world, 2, failing))
         assert world.attempt_count(failing) == (1 if at_most_once else 2)
     unknown = world.submit("x", "no-such-class", "200", 1)
     assert unknown == 400
