--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -47,8 +47,8 @@
             restarts=tuple(round(at * SECOND) for at in self.restarts_s),
             seed=seed,
         )
-        calls, most = fleet.play().worst()
-        return calls / most
+        calls, limit = fleet.run().worst_window()
+        return calls / limit
 
     def __str__(self) -> str:
         kind = "silent" if self.silent else "refuses"
@@ -74,16 +74,16 @@
     """Plays all settings and prints those that go over."""
     silence = "silence" in sys.argv[1:]
     seeds = range(1, 7) if silence else range(1, 5)
-    played: list[list[float]] = []
+    loads_by_setting: list[list[float]] = []
     for setting in settings(silence=silence):
         loads = [setting.load(seed) for seed in seeds]
-        played.append(loads)
+        loads_by_setting.append(loads)
         if max(loads) > 1:
             print(f"{setting}: {max(loads):.2f}")
-    over = [load for loads in played for load in loads if load > 1]
-    settings_over = sum(max(loads) > 1 for loads in played)
-    plays = sum(len(loads) for loads in played)
-    print(f"over it: {settings_over} of {len(played)} settings, {len(over)} of {plays} plays")
+    over = [load for loads in loads_by_setting for load in loads if load > 1]
+    settings_over = sum(max(loads) > 1 for loads in loads_by_setting)
+    plays = sum(len(loads) for loads in loads_by_setting)
+    print(f"over it: {settings_over} of {len(loads_by_setting)} settings, {len(over)} of {plays} plays")
 
 
 if __name__ == "__main__":
--- a/tests/cli/test_bad_input.py
+++ b/tests/cli/test_bad_input.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from support.standalone import Alone
+from support.standalone import StandaloneSender
 
 # Each row: the command ~ its exit code ~ a part of the error line. Nothing listens at URL.
 BAD_INPUT = """
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("row", BAD_INPUT.strip().splitlines())
-def test_bad_input_gives_one_line_and_exit_code(alone: Alone, url: str, row: str) -> None:
+def test_bad_input_gives_one_line_and_exit_code(alone: StandaloneSender, url: str, row: str) -> None:
     arguments, exit_code, message = (part.strip() for part in row.split("~"))
     run = alone.run(*arguments.replace("URL", url).split())
     assert run.returncode == int(exit_code), run
--- a/tests/cli/test_ledger.py
+++ b/tests/cli/test_ledger.py
@@ -6,7 +6,7 @@
 
 import orjson
 import pytest
-from support.standalone import Alone
+from support.standalone import StandaloneSender
 
 from ashpath.server.storage.record_codec import MessageFinished, MessageSubmitted
 from ashpath.server.storage.stored_message import StoredMessage
@@ -25,19 +25,23 @@
     return path
 
 
-def test_verify_reports_byte_of_torn_record(alone: Alone, log: Path, complete_records: bytes) -> None:
+def test_verify_reports_byte_of_torn_record(
+    alone: StandaloneSender, log: Path, complete_records: bytes
+) -> None:
     run = alone.run("ledger", "verify", str(log), "--json")
     assert run.returncode == 1
     assert orjson.loads(run.stdout)["byte"] == len(complete_records)
 
 
-def test_verify_accepts_a_state_directory(alone: Alone, log: Path, complete_records: bytes) -> None:
+def test_verify_accepts_a_state_directory(
+    alone: StandaloneSender, log: Path, complete_records: bytes
+) -> None:
     run = alone.run("ledger", "verify", str(log.parent))
     assert f"byte {len(complete_records)}: torn" in run.stdout
 
 
 def test_show_lists_complete_records_without_changes(
-    alone: Alone, log: Path, complete_records: bytes
+    alone: StandaloneSender, log: Path, complete_records: bytes
 ) -> None:
     before = log.read_bytes()
     shown = alone.run("ledger", "show", str(log.parent))
--- a/tests/cli/test_standalone.py
+++ b/tests/cli/test_standalone.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 from gevent.subprocess import PIPE
-from support.standalone import RULES, TRACKS, Alone
+from support.standalone import RULES, TRACKS, StandaloneSender
 from support.world import wait_until
 
 from ashpath.server.storage.errors import StateDirectoryError
@@ -21,7 +21,7 @@
 from ashpath.server.timers import stored_time
 
 
-def test_status_api_reports_final_outcomes_across_kill(alone: Alone) -> None:
+def test_status_api_reports_final_outcomes_across_kill(alone: StandaloneSender) -> None:
     """The status API returns each state, also after a kill, and 404 for a message never submitted."""
     alone.rest += '[notices]\nfile = "notices.jsonl"\n'
     alone.destinations[6] = 'endpoints = ["127.0.0.1:1"]'
@@ -42,7 +42,7 @@
         ("gone", "withdrawn"),
         ("late", "deferred"),
     ):
-        wait_until(alone.ends(trace, state))
+        wait_until(alone.has_state(trace, state))
     assert alone.get("/envelopes/late")["again_ms"] >= 1000
     assert alone.get("/envelopes/never") == 404
     assert alone.submit("hangs", "tag", "200", 1) == 409
@@ -50,7 +50,7 @@
     assert [(row["id"], row["state"], row["track"]) for row in live_messages] == [("hangs", "out", "tag")]
     alone.kill()
     alone.start()
-    wait_until(alone.ends("hangs", "completed"))
+    wait_until(alone.has_state("hangs", "completed"))
     states = {"done": "completed", "lost": "undeliverable", "late": "deferred"}
     assert {trace: alone.state(trace) for trace in states} == states
     notified = [orjson.loads(line) for line in (alone.folder / "notices.jsonl").read_bytes().splitlines()]
@@ -66,7 +66,7 @@
         assert alone.get(path) == status
 
 
-def test_reload_preserves_live_messages(alone: Alone) -> None:
+def test_reload_preserves_live_messages(alone: StandaloneSender) -> None:
     """A reload with 200 live messages loses and repeats none of them.
 
     It replaces endpoints, and removes a destination with attempts in flight and a traffic class in use.
@@ -81,14 +81,14 @@
     wait_until(lambda: alone.attempt_count("out") and alone.attempt_count("out2"))
     before = alone.file.read_text()
     alone.file.write_text(before[:200])  # half written
-    assert "configuration not read" in alone.reread()
-    assert "sender.toml:" in alone.reread()
+    assert "configuration not read" in alone.reload()
+    assert "sender.toml:" in alone.reload()
     del alone.destinations[1]
     alone.destinations[5] = f'endpoints = ["{alone.endpoint_at}"]'
     alone.tracks = TRACKS.replace("[tracks.free]", "[tracks.other]")
     alone.rest = RULES.replace('"8MiB"', '"9MiB"')
     alone.write()
-    line = alone.reread()
+    line = alone.reload()
     taken, later = line.split("needs_restart=")
     assert "destinations.5.endpoints" in taken
     assert "destinations.1.endpoints" in taken
@@ -99,17 +99,17 @@
     assert alone.submit("new", "other", "200", 2) == 202
     assert alone.submit("old", "free", "200", 2) == 400  # its live messages keep its settings
     wait_until(lambda: all(alone.attempt_count(f"w{number}") == 1 for number in range(198)))
-    wait_until(alone.ends("out", "completed"))
-    wait_until(alone.ends("out2", "completed"))
+    wait_until(alone.has_state("out", "completed"))
+    wait_until(alone.has_state("out2", "completed"))
     assert alone.attempt_count("out") == alone.attempt_count("out2") == 1
     assert not alone.get("/envelopes")["envelopes"]
     alone.rest += "[kinds.plain]\napart = true\n"
     alone.write()
-    assert "kinds.plain.apart" in alone.reread()  # two gates at once, without a new endpoint list
+    assert "kinds.plain.apart" in alone.reload()  # two gates at once, without a new endpoint list
     assert {row["number"]: row["limit"] for row in alone.get("/destinations")["destinations"]}[4] == 2
 
 
-def test_live_messages_keep_removed_traffic_class_after_restart(alone: Alone) -> None:
+def test_live_messages_keep_removed_traffic_class_after_restart(alone: StandaloneSender) -> None:
     """After a restart, live messages keep the settings they were accepted under.
 
     Their traffic class may have been removed from the file, or changed.
@@ -127,21 +127,21 @@
     alone.destinations[5] = f'endpoints = ["{alone.endpoint_at}"]'
     alone.write()
     alone.start()
-    wait_until(alone.ends("f", "completed"))
-    wait_until(alone.ends("t", "completed"))
-    wait_until(alone.ends("o", "undeliverable"))  # as it was once-only when it was accepted
+    wait_until(alone.has_state("f", "completed"))
+    wait_until(alone.has_state("t", "completed"))
+    wait_until(alone.has_state("o", "undeliverable"))  # as it was once-only when it was accepted
     wait_until(lambda: all(alone.state(f"{trace}-waits") == "completed" for trace in "fto"))
     assert alone.attempt_count("o") == 1
     assert alone.submit("x", "free", "200", 1) == 400
     assert alone.submit("y", "once", "500 200", 1) == 202
-    wait_until(alone.ends("y", "completed"))
+    wait_until(alone.has_state("y", "completed"))
     alone.kill(signal.SIGTERM)
     alone.start()
     names = [row["name"] for row in orjson.loads((alone.folder / "state" / "imprint").read_bytes())["tracks"]]
     assert names == ["tag", "once"], "ids start again from 0 once no message is live"
 
 
-def test_foreign_state_directory_is_refused_unchanged(alone: Alone, tmp_path: Path) -> None:
+def test_foreign_state_directory_is_refused_unchanged(alone: StandaloneSender, tmp_path: Path) -> None:
     """A directory in use, of another sender or damaged gives one line and exit code 2, and is not changed."""
     alone.start()
     alone.destinations[0] = "endpoints = []"
@@ -178,7 +178,7 @@
     return {path.name: path.read_bytes() for path in folder.iterdir()}
 
 
-def assert_start_refused(alone: Alone, words: str) -> None:
+def assert_start_refused(alone: StandaloneSender, words: str) -> None:
     """Asserts that the sender does not start, prints the reason, and leaves the state directory unchanged."""
     before = directory_contents(alone.folder / "state")
     run = alone.run("serve", str(alone.file))
@@ -188,7 +188,7 @@
     assert directory_contents(alone.folder / "state") == before
 
 
-def test_start_with_full_disk_or_without_permissions(alone: Alone, tmp_path: Path) -> None:
+def test_start_with_full_disk_or_without_permissions(alone: StandaloneSender, tmp_path: Path) -> None:
     """A sender starts on a full disk: it rejects new messages and finishes live ones.
 
     The log cannot record their outcomes, so they are live again at the next start. Without permissions for
@@ -207,7 +207,7 @@
 
     alone.start(stdout=PIPE, preexec_fn=limit_file_size)
     assert alone.submit("refused", "once", "200", 1) == 503
-    wait_until(alone.ends("kept", "undeliverable"))
+    wait_until(alone.has_state("kept", "undeliverable"))
     alone.kill()
     state_directory = StateDirectory(tmp_path / "state", "n0")
     assert state_directory.live_messages() == 1
@@ -222,10 +222,10 @@
         os.seteuid(user_id)
         state.chmod(0o700)
     alone.start()
-    wait_until(alone.ends("kept", "undeliverable"))
+    wait_until(alone.has_state("kept", "undeliverable"))
 
 
-def test_unread_log_output_does_not_block_sender(alone: Alone) -> None:
+def test_unread_log_output_does_not_block_sender(alone: StandaloneSender) -> None:
     """The sender goes on delivering messages while standard output is a full pipe, and after it is closed."""
     read_end, write_end = os.pipe()
     fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4096)
@@ -241,19 +241,19 @@
     assert alone.process is not None
     alone.process.send_signal(signal.SIGHUP)  # writes a log line to the closed pipe
     assert alone.submit("after", "once", "200", 1) == 202
-    wait_until(alone.ends("after", "completed"))
+    wait_until(alone.has_state("after", "completed"))
     os.close(write_end)
     assert alone.process.poll() is None
 
 
-def test_closed_standard_streams_are_opened_on_dev_null(alone: Alone) -> None:
+def test_closed_standard_streams_are_opened_on_dev_null(alone: StandaloneSender) -> None:
     """With closed standard streams, a file of the sender could get the number of standard output.
 
     Log lines would then be written into the write-ahead log.
     """
     alone.start(stdout=None, preexec_fn=lambda: os.closerange(0, 3))
     assert alone.submit("c", "once", "200", 1) == 202
-    wait_until(alone.ends("c", "completed"))
+    wait_until(alone.has_state("c", "completed"))
     assert alone.process is not None
     assert os.readlink(f"/proc/{alone.process.pid}/fd/1") == "/dev/null"
     with (alone.folder / "state" / "journal").open("rb") as file:
@@ -262,7 +262,7 @@
         assert not reader.fault
 
 
-def test_secrets_are_not_written_to_log(alone: Alone) -> None:
+def test_secrets_are_not_written_to_log(alone: StandaloneSender) -> None:
     """Secrets are sent with attempts and notifications, but appear in no log line.
 
     The error for a missing secret names its key.
--- a/tests/cli/test_submit.py
+++ b/tests/cli/test_submit.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from support.standalone import Alone
+from support.standalone import StandaloneSender
 
 
 @pytest.mark.parametrize(
@@ -16,7 +16,7 @@
     ],
 )
 def test_wait_follows_message_to_final_outcome(
-    alone: Alone,
+    alone: StandaloneSender,
     url: str,
     body: str,
     traffic_class: str,
@@ -35,7 +35,7 @@
     assert orjson.loads(run.stdout)["state"] == state
 
 
-def test_body_is_read_from_standard_input(alone: Alone, url: str) -> None:
+def test_body_is_read_from_standard_input(alone: StandaloneSender, url: str) -> None:
     alone.start()
     arguments = ["--to", "1", "--track", "tag", "--body", "-", "--id", "h"]
     run = alone.run("submit", "--url", url, *arguments, input="hang")
--- a/tests/emulator/simulation/test_simulation_run.py
+++ b/tests/emulator/simulation/test_simulation_run.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import pytest
-from support.crippled_policies import (
-    DisorderlyPolicy,
-    ForgetfulPolicy,
-    ImpatientPolicy,
-    LingeringPolicy,
-    PushyPolicy,
-    RepeatingPolicy,
-    RestlessPolicy,
+from support.defective_policies import (
+    LongDeduplicationWindowPolicy,
+    RemovalIgnoringPolicy,
+    RetryAfterIgnoringPolicy,
+    TimerRepeatingPolicy,
+    UnlimitedPolicy,
+    UnorderedPolicy,
+    UnreportedFailurePolicy,
 )
 
 from ashpath.core.interface import PolicyActions, PolicySettings
@@ -23,12 +23,12 @@
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
 DEFECTIVE_POLICIES = [
-    (ForgetfulPolicy, "large-silent", "lost"),
-    (RepeatingPolicy, "errors-behind", "doubled"),
-    (LingeringPolicy, "replaced", "drain"),
-    (PushyPolicy, "silent-bank", "returning"),
-    (DisorderlyPolicy, "in-turn", "order"),
-    (ImpatientPolicy, "limit-cut", "wait"),
+    (UnreportedFailurePolicy, "large-silent", "lost"),
+    (LongDeduplicationWindowPolicy, "errors-behind", "doubled"),
+    (RemovalIgnoringPolicy, "replaced", "drain"),
+    (UnlimitedPolicy, "silent-bank", "returning"),
+    (UnorderedPolicy, "in-turn", "order"),
+    (RetryAfterIgnoringPolicy, "limit-cut", "wait"),
 ]
 
 
@@ -56,4 +56,4 @@
 def test_policy_that_repeats_timers_at_once_stops_simulation() -> None:
     """A policy that schedules each timer again for the current time must not make a run endless."""
     with pytest.raises(SimulationStalledError):
-        run("calm", RestlessPolicy)
+        run("calm", TimerRepeatingPolicy)
--- a/tests/emulator/test_runs.py
+++ b/tests/emulator/test_runs.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from support.standalone import Alone
+from support.standalone import StandaloneSender
 
 from ashpath.cli.check import command as check
 from ashpath.emulator.policies import POLICIES
@@ -79,7 +79,7 @@
 
 
 def test_simulate_command_reports_results_and_input_errors(tmp_path: Path) -> None:
-    alone = Alone(tmp_path)
+    alone = StandaloneSender(tmp_path)
     try:
         file = tmp_path / "out.json"
         words = ["--seeds", "1..2", "--policy", "all", "--jobs", "2", "--json", str(file)]
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -25,7 +25,7 @@
     """
     for uneven in (False, True):
         fleet = Fleet(CUSTOMERS[customer], senders, capacity, uneven=uneven, restarts=RESTARTS[restarts])
-        calls, allowed_calls = fleet.play().worst()
+        calls, allowed_calls = fleet.run().worst_window()
         assert calls <= allowed_calls, uneven
         assert fleet.calls, uneven
 
@@ -35,8 +35,8 @@
 def test_unanswered_calls_of_all_senders_stay_within_recovering_capacity(customer: str, senders: int) -> None:
     """The same where the destination accepts calls in the outage and never responds."""
     for restarts in ((), (40 * SECOND,), (45 * SECOND,)):
-        fleet = Fleet(CUSTOMERS[customer], senders, 6.0, silent=True, restarts=restarts).play()
-        calls, allowed_calls = fleet.worst()
+        fleet = Fleet(CUSTOMERS[customer], senders, 6.0, silent=True, restarts=restarts).run()
+        calls, allowed_calls = fleet.worst_window()
         assert calls <= allowed_calls, restarts
         assert fleet.calls, restarts
 
@@ -45,9 +45,9 @@
     """Guards against a measure that never fails: without bounds the same fleet overloads the destination."""
     settings = replace(CUSTOMERS["load reports"], warm_up_time=10 * SECOND, overload_multiple=100.0)
     fleet = Fleet(settings, 20, 6.0)
-    fleet.play()
+    fleet.run()
     fleet.settings = replace(settings, overload_multiple=2.0)
-    calls, allowed_calls = fleet.worst()
+    calls, allowed_calls = fleet.worst_window()
     assert calls > allowed_calls
 
 
--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -33,7 +33,7 @@
     "remove": lambda scenario: lambda policy: policy.update_endpoints(
         [scenario.endpoints["x2"]], complete=True
     ),
-    "list": lambda scenario: scenario.whole_list(),
+    "list": lambda scenario: scenario.complete_list(),
     "detach": lambda scenario: lambda policy: policy.set_detached("x1", detached=True),
     "retry after": lambda scenario: lambda policy: policy.retry_after_received(
         7, "x1", scenario.now + RETRY_AFTER
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
 def test_scenario_file_keeps_the_six_rules(path: Path) -> None:
-    Scenario(DeliveryPolicy).play(path.read_text())
+    Scenario(DeliveryPolicy).run(path.read_text())
 
 
 def test_doctest_examples_of_core_modules_pass() -> None:
@@ -108,7 +108,7 @@
         return cast(DeliveryPolicy, RuleBreakingPolicy(actions, sends=sends))
 
     with pytest.raises(AssertionError, match=rule):
-        Scenario(make).play(SETTINGS_LINES + text)
+        Scenario(make).run(SETTINGS_LINES + text)
 
 
 def test_replaced_endpoints_are_forgotten_after_a_while() -> None:
--- a/tests/server/control/test_operator_commands.py
+++ b/tests/server/control/test_operator_commands.py
@@ -6,7 +6,7 @@
 
 import pytest
 from gevent import socket
-from support.server import READY
+from support.server import READINESS_REQUEST
 from support.world import World, wait_until
 
 ANSWERS = [  # a command and the start of its answer
@@ -32,22 +32,22 @@
         half.sendall(b"DETA")  # half a command, and the connection stays open
         for command, answer in ANSWERS:
             assert started.operator_command(command).startswith(answer)
-        assert started.response_status(READY) == 200
+        assert started.response_status(READINESS_REQUEST) == 200
         assert half.recv(100).startswith(b"ERR no whole line")  # at its own time limit
         assert silent.recv(100).startswith(b"ERR no whole line")
 
 
 def test_lame_duck_is_not_ready_and_serves_requests(started: World) -> None:
-    assert started.response_status(READY) == 200
+    assert started.response_status(READINESS_REQUEST) == 200
     idle = started.connect()
     assert idle is not None
     assert started.operator_command(b"LAMEDUCK\n").startswith(b"OK")
-    wait_until(lambda: started.response_status(READY) == 503)
+    wait_until(lambda: started.response_status(READINESS_REQUEST) == 503)
     assert idle.receive() is False or not len(idle.buffer)  # closed by the sender
     assert started.submit("l1", "free", "200", 4) == 202
     wait_until(lambda: started.attempt_count("l1") == 1)
     assert started.operator_command(b"REJOIN\n").startswith(b"OK")
-    wait_until(lambda: started.response_status(READY) == 200)
+    wait_until(lambda: started.response_status(READINESS_REQUEST) == 200)
 
 
 def test_silent_operators_do_not_block_other_operators(started: World) -> None:
@@ -57,7 +57,7 @@
     for _ in range(10):
         assert started.operator_command(b"PING\n") == b"OK\n"
         connections += [socket.create_connection(started.control_address) for _ in range(20)]
-    assert started.response_status(READY) == 200
+    assert started.response_status(READINESS_REQUEST) == 200
     for connection in connections:
         connection.close()
 
--- a/tests/server/delivery/test_response_classifier.py
+++ b/tests/server/delivery/test_response_classifier.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 import pytest
-from support.server import live
+from support.server import live_messages
 from support.world import World, wait_until
 
 from ashpath.core.interface import AttemptOutcome, LoadReport
@@ -95,7 +95,7 @@
             assert call.headers[b"idempotency-key"] == b"tag-r%d" % number
             assert call.path == b"/hook"
             assert 0 < int(call.headers[b"x-expires-in-ms"]) <= 30000
-    wait_until(lambda: not live(world))
+    wait_until(lambda: not live_messages(world))
     assert len(world.notifications) == sum(case.notification is not None for case in DELIVERY_CASES)
 
 
--- a/tests/server/discovery/test_endpoint_list_lease.py
+++ b/tests/server/discovery/test_endpoint_list_lease.py
@@ -16,7 +16,7 @@
 from time import monotonic
 
 import gevent
-from support.drain_play import DrainPlay, Scenario
+from support.drain_setup import DrainSetup, Scenario
 from support.world import wait_until
 
 from ashpath.emulator.fault_injection.discovery_agent import AgentReply
@@ -39,9 +39,9 @@
 def after_silence(*replies: AgentReply, delay_s: float = 0.0) -> Scenario:
     """The watch falls silent as the endpoint drains; the polls that follow get these replies."""
 
-    def play(drain: DrainPlay) -> float:
+    def play(drain: DrainSetup) -> float:
         drain.start()
-        drain.watched()
+        drain.wait_for_poll()
         agent = drain.agents[0]
         agent.retry_after_s = 5.0
         agent.silence_watches()
@@ -54,11 +54,11 @@
     return play
 
 
-def after_outage(drain: DrainPlay) -> float:
+def after_outage(drain: DrainSetup) -> float:
     """Discovery is silent for a while, and returns together with the drain. The drain counts as received at
     once, so only the grace of one second remains."""
     drain.start()
-    drain.watched()
+    drain.wait_for_poll()
     agent = drain.agents[0]
     agent.default_reply = SILENT
     agent.silence_watches()
@@ -73,9 +73,9 @@
 ) -> Scenario:
     """SIGHUP moves discovery; the first polls of the last agent get these replies."""
 
-    def play(drain: DrainPlay) -> float:
+    def play(drain: DrainSetup) -> float:
         drain.start()
-        drain.watched()
+        drain.wait_for_poll()
         last = drain.agents[-1]
         last.retry_after_s = 5.0
         last.script.extend(replies)
@@ -83,10 +83,10 @@
         drain.drain(agent=len(drain.agents) - 1)
         backlog = FullBacklog() if through_full_backlog else None
         if backlog is not None:
-            drain.move(f"{backlog.address[0]}:{backlog.address[1]}")
+            drain.change_discovery_address(f"{backlog.address[0]}:{backlog.address[1]}")
             gevent.sleep(0.1)  # the connect is in progress
         for _ in range(moves):
-            drain.move(last.address)
+            drain.change_discovery_address(last.address)
         return monotonic() + MOVE_ALLOWED_S
 
     return play
@@ -96,7 +96,7 @@
     """Before the sender starts, the agent has the drain and the configuration file does not; the first polls
     get these replies."""
 
-    def play(drain: DrainPlay) -> float:
+    def play(drain: DrainSetup) -> float:
         drain.drain()
         drain.agents[0].script.extend(replies)
         drain.start()
@@ -108,14 +108,14 @@
 def older_list(*, other_agent: bool) -> Scenario:
     """After the drain was read, a complete list of an earlier revision lists the endpoint as up."""
 
-    def play(drain: DrainPlay) -> float:
+    def play(drain: DrainSetup) -> float:
         drain.start()
-        drain.watched()
+        drain.wait_for_poll()
         drain.drain()
         wait_until(lambda: drain.agents[0].polls[-1].index == 5)
         received_at = monotonic()
         if other_agent:
-            drain.move(drain.agents[1].address)
+            drain.change_discovery_address(drain.agents[1].address)
         else:
             drain.agents[0].script.append(CLOSE)
             drain.agents[0].change(drain.members("up"), revision=3)
@@ -144,14 +144,14 @@
 }
 
 
-def describe_late_calls(drain: DrainPlay, play: Scenario) -> str:
+def describe_late_calls(drain: DrainSetup, play: Scenario) -> str:
     """Runs a scenario; returns an empty string, or a description of its fault."""
     try:
         received_by = play(drain)
         gevent.sleep(max(0.0, received_by - monotonic()) + GRACE_S + CALLS_AFTER_S)
-        if len(drain.stays.calls) < 2:
+        if len(drain.staying_endpoint.calls) < 2:
             return "no calls at all"
-        late_s = drain.last_call() - received_by - GRACE_S
+        late_s = drain.last_call_of_draining_endpoint() - received_by - GRACE_S
         return f"called {late_s:.2f} s too late" if late_s > 0 else ""
     finally:
         drain.stop()
@@ -161,7 +161,7 @@
     """Runs one sender for each scenario, concurrently."""
     results: dict[str, Callable[[], str]] = {}
     for number, (name, (scenario, agents)) in enumerate(SCENARIOS.items()):
-        drain = DrainPlay(tmp_path / str(number), agents)
+        drain = DrainSetup(tmp_path / str(number), agents)
         results[name] = gevent.spawn(describe_late_calls, drain, scenario).get
     faults = {name: fault for name, get in results.items() if (fault := get())}
     assert faults == {}
--- a/tests/server/http/test_listener.py
+++ b/tests/server/http/test_listener.py
@@ -99,11 +99,11 @@
     wait_until(lambda: "event=discovery now=silent" in (world.folder / "log").read_text())
     descriptors = len(os.listdir(f"/proc/{world.process.pid}/fd"))
     assert descriptors <= 256
-    before = world.watches.get(port, 0)
+    before = world.poll_counts.get(port, 0)
     world.servers[1] = StreamServer(("127.0.0.1", port), world.serve_platform)
     world.servers[1].start()
     began = monotonic()
-    wait_until(lambda: world.watches.get(port, 0) > before and world.notified("owed"))
+    wait_until(lambda: world.poll_counts.get(port, 0) > before and world.notified("owed"))
     assert monotonic() - began < 6
     assert world.operator_command(b"PING\n") == b"OK\n"
     assert world.submit("new", "free", "200", 2) == 202
--- a/tests/server/metrics/test_metrics.py
+++ b/tests/server/metrics/test_metrics.py
@@ -10,7 +10,7 @@
 from gevent import socket
 from prometheus_client.parser import text_string_to_metric_families
 from support.server import reload_configuration
-from support.standalone import Alone
+from support.standalone import StandaloneSender
 from support.world import LIMITS, SETTINGS, World, free_address, wait_until
 
 from ashpath.server.addresses import Address
@@ -137,14 +137,14 @@
 
 def test_listen_address_in_configuration_file_is_applied(tmp_path: Path) -> None:
     """SIGHUP applies the address; an address in use at the start is one error line with file and key."""
-    alone, address = Alone(tmp_path), free_address()
+    alone, address = StandaloneSender(tmp_path), free_address()
     alone.start()
     alone.rest += f'[metrics]\nlisten = "127.0.0.1:{address[1]}"\n'
     alone.write()
-    assert "metrics.listen" in alone.reread()
+    assert "metrics.listen" in alone.reload()
     assert scrape(address)["max_in_flight",]
     (tmp_path / "second").mkdir()
-    second = Alone(tmp_path / "second", rest=alone.rest)
+    second = StandaloneSender(tmp_path / "second", rest=alone.rest)
     expected_error = (
         f"ashpath: {second.file}: metrics.listen: 127.0.0.1:{address[1]}: Address already in use\n"
     )
--- a/tests/server/storage/test_outcome_store.py
+++ b/tests/server/storage/test_outcome_store.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from support.loggers import RecordingLogger, no_errors
+from support.loggers import RecordingLogger, error_raising_logger
 
 from ashpath.server.storage.final_state import FinalState
 from ashpath.server.storage.outcome_store import OutcomeStore
@@ -16,7 +16,7 @@
 
 
 def open_store(directory: Path) -> OutcomeStore:
-    return OutcomeStore(directory, MAX_BYTES, RETENTION_US, no_errors())
+    return OutcomeStore(directory, MAX_BYTES, RETENTION_US, error_raising_logger())
 
 
 def add_outcomes(store: OutcomeStore) -> None:
--- a/tests/server/storage/test_stored_data.py
+++ b/tests/server/storage/test_stored_data.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from support.loggers import no_errors
+from support.loggers import error_raising_logger
 from support.stored_data import FUTURE, MAX_LOG_BYTES, PAST, STORED, copy_of
 
 from ashpath.cli.standalone_deployment import FileConfiguration
@@ -154,17 +154,21 @@
 
 def test_stored_outages_in_force_are_active(tmp_path: Path) -> None:
     """The outage whose slow start has ended is not among them."""
-    outages = OutageStore(copy_of("platform", tmp_path), no_errors())
+    outages = OutageStore(copy_of("platform", tmp_path), error_raising_logger())
     assert outages.active() == [Outage(20, "", 12.5, None), Outage(21, "e21-é", 0.1, FUTURE)]
 
 
 def test_slow_start_ends_of_stored_outages_are_read(tmp_path: Path) -> None:
-    outages = OutageStore(copy_of("platform", tmp_path), no_errors())
+    outages = OutageStore(copy_of("platform", tmp_path), error_raising_logger())
     assert [outage.slow_start_end for outage in outages.outages.values()] == [None, FUTURE, PAST + 1]
 
 
 def test_stored_detached_endpoints_are_read(tmp_path: Path) -> None:
-    assert DetachedEndpoints(copy_of("platform", tmp_path), no_errors()).read() == {"e3", "e-ü", "gone"}
+    assert DetachedEndpoints(copy_of("platform", tmp_path), error_raising_logger()).read() == {
+        "e3",
+        "e-ü",
+        "gone",
+    }
 
 
 def test_stored_traffic_classes_are_read_by_id(tmp_path: Path) -> None:
@@ -237,7 +241,7 @@
 
 
 def test_stored_final_outcomes_are_read(tmp_path: Path) -> None:
-    store = OutcomeStore(copy_of("standalone", tmp_path), MAX_LOG_BYTES, 60_000_000, no_errors())
+    store = OutcomeStore(copy_of("standalone", tmp_path), MAX_LOG_BYTES, 60_000_000, error_raising_logger())
     store.close()
     assert {trace_id: store.get(trace_id) for trace_id in store.trace_ids()} == OUTCOMES
     assert store.trace_ids() == list(OUTCOMES)
--- a/tests/server/storage/test_stored_data_at_start.py
+++ b/tests/server/storage/test_stored_data_at_start.py
@@ -5,7 +5,7 @@
 import shutil
 from pathlib import Path
 
-from support.standalone import Alone
+from support.standalone import StandaloneSender
 from support.stored_data import STORED
 from support.world import World, wait_until
 
@@ -48,7 +48,7 @@
 
 
 def test_standalone_sender_reports_stored_final_states(tmp_path: Path) -> None:
-    sender = Alone(tmp_path)
+    sender = StandaloneSender(tmp_path)
     shutil.copytree(STORED / "standalone", tmp_path / "standalone")
     configuration = (STORED / "sender.toml").read_text()
     sender.file.write_text(configuration.replace("127.0.0.1:8080", f"127.0.0.1:{sender.address[1]}"))
--- a/tests/server/storage/test_stored_data_written.py
+++ b/tests/server/storage/test_stored_data_written.py
@@ -10,7 +10,7 @@
 
 import orjson
 import pytest
-from support.loggers import no_errors
+from support.loggers import error_raising_logger
 from support.stored_data import FUTURE, MAX_LOG_BYTES, PAST, STORED
 
 from ashpath.cli.standalone_deployment import FileConfiguration
@@ -76,7 +76,7 @@
 
 def test_written_outages_have_the_stored_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(outage_store, "stored_time", lambda: PAST)
-    written = outage_store.OutageStore(tmp_path, no_errors())
+    written = outage_store.OutageStore(tmp_path, error_raising_logger())
     written.outage_began(20, "", 12.5)
     for endpoint, destination, rate, ramp in (("e21-é", 21, 0.1, FUTURE - PAST), ("e22", 22, 3.0, 1)):
         written.outage_began(destination, endpoint, rate)
@@ -86,7 +86,7 @@
 
 def test_written_detached_endpoints_have_the_stored_bytes(tmp_path: Path) -> None:
     for endpoint in ("e3", "e-ü", "gone"):
-        DetachedEndpoints(tmp_path, no_errors()).change(endpoint, detached=True)
+        DetachedEndpoints(tmp_path, error_raising_logger()).change(endpoint, detached=True)
     assert (tmp_path / "held-endpoints").read_bytes() == (PLATFORM / "held-endpoints").read_bytes()
 
 
@@ -109,7 +109,7 @@
     """The written file has the complete lines of both stored files, without those that were cut off."""
     stored = (STANDALONE / "ends.old").read_bytes() + (STANDALONE / "ends").read_bytes()
     lines = [line for line in stored.splitlines(keepends=True) if line.endswith(b"]\n")]
-    written = outcome_store.OutcomeStore(tmp_path, MAX_LOG_BYTES, 60_000_000, no_errors())
+    written = outcome_store.OutcomeStore(tmp_path, MAX_LOG_BYTES, 60_000_000, error_raising_logger())
     for trace_id, state, at, retry_after in map(orjson.loads, lines):
         monkeypatch.setattr(outcome_store, "stored_time", lambda at=at: at)
         written.add(trace_id, FinalState(state), retry_after)
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -5,8 +5,8 @@
 import signal
 
 import gevent
-from support.loggers import no_errors
-from support.server import READY, terminate
+from support.loggers import error_raising_logger
+from support.server import READINESS_REQUEST, terminate
 from support.world import World, request, wait_until
 
 from ashpath.server.http.connection import HttpConnection
@@ -38,7 +38,7 @@
     """Guards requests on their way at SIGTERM: on kept connections, first requests not yet begun, and ones
     that come in pieces. Each has its response, which ends its connection."""
     old, new = pair
-    kept = [accepted(old, READY) for _ in range(4)]
+    kept = [accepted(old, READINESS_REQUEST) for _ in range(4)]
     assert [wire.read_response().status for wire in kept] == [200] * 4
     for wire in kept:
         wire.finish_response()
@@ -70,7 +70,7 @@
     assert new.operator_command(b"DETACH e5\n").startswith(b"OK")
     assert old.operator_command(b"DETACH e6\n").startswith(b"OK")
     terminate(old)
-    assert DetachedEndpoints(old.folder / "state", no_errors()).read() == {"e5", "e6"}
+    assert DetachedEndpoints(old.folder / "state", error_raising_logger()).read() == {"e5", "e6"}
     assert new.submit("b5", "free", "200", 5, time_left_ms=2500) == 202
     assert new.submit("b6", "free", "200", 6, time_left_ms=2500) == 202
     wait_until(lambda: new.notified("b5") and new.notified("b6"))
--- a/tests/server/test_policy_runner.py
+++ b/tests/server/test_policy_runner.py
@@ -122,9 +122,8 @@
     assert world.submit("one", "tag", "hang", 1, time_left_ms=700, ordering_key="k") == 202
     assert world.submit("two", "tag", "200", 1, ordering_key="k") == 202
     assert world.submit("other", "tag", "200", 2, ordering_key="j") == 202
-    wait_until(
-        lambda: world.notifications_to_reject < 10**6 - 2
-    )  # its notification is pending, and was rejected
+    # Its notification is pending, and was rejected.
+    wait_until(lambda: world.notifications_to_reject < 10**6 - 2)
     wait_until(lambda: world.attempt_count("other") > 0)
     world.kill()
     world.start()
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -45,7 +45,7 @@
     wait_until(lambda: log.read_text().count("configuration read") == 1)
     assert "settings applied" not in log.read_text()
     old.stop(timeout=0)
-    wait_until(lambda: world.watches.get(new_agent[1], 0) > 1)  # so the first list has been read
+    wait_until(lambda: world.poll_counts.get(new_agent[1], 0) > 1)  # so the first list has been read
     assert world.submit("h0", "once", "200", 7, 1500) == 202
     assert world.submit("h1", "free", "200", 1) == 202
     wait_until(lambda: world.notified("h0") and world.attempt_count("h1"))
@@ -71,9 +71,8 @@
     world.process.send_signal(signal.SIGHUP)
     os.write(file, text.encode())
     os.close(file)
-    wait_until(
-        lambda: "event=ready" in (world.folder / "log").read_text()
-    )  # or both texts may be read as one
+    # Without this wait both texts may be read as one.
+    wait_until(lambda: "event=ready" in (world.folder / "log").read_text())
     again = gevent.get_hub().threadpool.spawn(lambda: path.write_text(text))
     wait_until(lambda: "configuration read" in (world.folder / "log").read_text())
     again.get()
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -7,7 +7,7 @@
 
 import gevent
 from gevent.server import StreamServer
-from support.server import live
+from support.server import live_messages
 from support.world import LIMITS, World, free_address, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import CallFault, FaultyCall, ProcessFaults
@@ -35,7 +35,8 @@
     assert world.submit("second", "tag", "200", 7, ordering_key="a") == 202
     # Its notice is off the ledger: one whose 204 a kill cuts off is told again, and causes no harm.
     wait_until(
-        lambda: world.notified("late") and "late" not in [entry.trace_id for entry in live(world).values()]
+        lambda: world.notified("late")
+        and "late" not in [entry.trace_id for entry in live_messages(world).values()]
     )
     assert world.kill() == -signal.SIGKILL
     world.start()
@@ -49,7 +50,7 @@
     assert world.attempts["k1"][0].body == world.attempts["k1"][1].body
     assert list(world.attempts).index("second") > list(world.attempts).index("first")
     assert world.attempt_count("first") == 2
-    wait_until(lambda: not live(world))
+    wait_until(lambda: not live_messages(world))
     assert [line["id"] for line in world.notifications] == ["late", "k2"]
 
 
@@ -65,7 +66,7 @@
             world.kill()
             world.start()
     assert len(taken) == 36
-    wait_until(lambda: not live(world))
+    wait_until(lambda: not live_messages(world))
     for trace, track in taken.items():
         ends = world.notified(trace)
         assert ends == (["undeliverable"] if track == "once" and ends else []), (trace, ends)
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -9,7 +9,7 @@
 
 import pytest
 from gevent import subprocess
-from support.server import live, reload_configuration
+from support.server import live_messages, reload_configuration
 from support.world import SETTINGS, World, wait_until
 
 from ashpath.server.storage.traffic_class_ids import TrafficClassIds
@@ -76,7 +76,7 @@
         attempts[f"{way}new"] = 1
     assert "max_in_flight=64 " in (world.folder / "log").read_text(), "as many as there are connections"
     list_elsewhere(world, 6)
-    wait_until(lambda: all(world.attempt_count(name) for name in attempts) and not live(world))
+    wait_until(lambda: all(world.attempt_count(name) for name in attempts) and not live_messages(world))
     assert not world.notifications
     assert {name: world.attempt_count(name) for name in attempts} == attempts
 
@@ -100,7 +100,7 @@
     wait_until(
         lambda: world.notified("o")
         and world.attempt_count("f") == world.attempt_count("l") == 2
-        and not live(world)
+        and not live_messages(world)
     )
     assert world.notified("o") == ["undeliverable"]
     assert world.attempt_count("o") == 1
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -9,7 +9,7 @@
 from gevent import socket
 from gevent.event import Event
 from gevent.server import StreamServer
-from support.server import live
+from support.server import live_messages
 from support.world import LIMITS, SETTINGS, World, request, reset_connection, wait_until
 
 from ashpath.server.http.connection import HttpConnection
@@ -40,10 +40,10 @@
     assert world.process.returncode == 0
     assert world.attempt_count("t2") == 1
     assert not world.attempt_count("t3")
-    assert [entry.trace_id for entry in live(world).values()] == ["t1"]
+    assert [entry.trace_id for entry in live_messages(world).values()] == ["t1"]
     world.start()
     wait_until(lambda: world.attempt_count("t1") == 2)
-    wait_until(lambda: not live(world))
+    wait_until(lambda: not live_messages(world))
     assert world.attempt_count("t0") == 1
     assert not world.notifications
 
@@ -97,8 +97,8 @@
     successor = {**world.members[1], "id": "e1", "host_port": world.members[2]["host_port"]}
     rows = [*world.members, {**world.members[1], "phase": "draining"}, successor]
     world.config["known"] = {"revision": 9, "complete": True, "members": rows}
-    before = sum(world.watches.values())
-    wait_until(lambda: sum(world.watches.values()) > before + 1)  # so the drain is known
+    before = sum(world.poll_counts.values())
+    wait_until(lambda: sum(world.poll_counts.values()) > before + 1)  # so the drain is known
     told.set()  # its call ends, and may be made again
     wait_until(lambda: world.process is None or world.process.poll() is not None)
     assert len(drained) == 1
--- a/tests/support/crippled_policies.py
+++ b/tests/support/defective_policies.py
@@ -18,14 +18,14 @@
 from ashpath.policy.gate import Gate
 
 
-class ForgetfulPolicy(DeliveryPolicy):
+class UnreportedFailurePolicy(DeliveryPolicy):
     """Gives no answer for what it gives up."""
 
     def finish_undelivered(self, message: Message) -> None:
         self.finish(message)
 
 
-class RepeatingPolicy(DeliveryPolicy):
+class LongDeduplicationWindowPolicy(DeliveryPolicy):
     """Takes a repeat for recognised for four times as long as it is."""
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions) -> None:
@@ -36,7 +36,7 @@
         super().__init__(replace(settings, traffic_classes=traffic_classes), actions)
 
 
-class LingeringPolicy(DeliveryPolicy):
+class RemovalIgnoringPolicy(DeliveryPolicy):
     """Ignores that endpoints are removed."""
 
     def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
@@ -52,39 +52,46 @@
         return True
 
 
-class OpenGate(Gate):
+class RetryAfterOnlyGate(Gate):
     """Heeds Retry-After alone."""
 
     def opens_at(self, now: int) -> int | None:
         return self.retry_after_until if now < self.retry_after_until else None
 
 
-class PushyPolicy(DeliveryPolicy):
+class UnlimitedPolicy(DeliveryPolicy):
     """Knows no slow start, no failures, no limit."""
 
     def new_destination(self, number: int) -> Destination:
-        found = super().new_destination(number)
-        found.gate.__class__ = OpenGate
-        return found
+        destination = super().new_destination(number)
+        destination.gate.__class__ = RetryAfterOnlyGate
+        return destination
 
 
-class DisorderlyPolicy(DeliveryPolicy):
+class UnorderedPolicy(DeliveryPolicy):
     """Takes ordered messages for any others."""
 
-    def submit(self, message_id: int, number: int, traffic_class: int, key: int | None, left: int) -> None:
-        super().submit(message_id, number, traffic_class, None, left)
+    def submit(
+        self, message_id: int, number: int, traffic_class: int, key: int | None, time_left: int
+    ) -> None:
+        super().submit(message_id, number, traffic_class, None, time_left)
 
 
-class ImpatientPolicy(DeliveryPolicy):
+class RetryAfterIgnoringPolicy(DeliveryPolicy):
     """Ignores Retry-After and limit reports."""
 
     def attempt_finished(
-        self, id_: int, outcome: AttemptOutcome, wait: int, closed: bool, report: LoadReport | None
+        self,
+        message_id: int,
+        outcome: AttemptOutcome,
+        retry_after: int,
+        final: bool,
+        report: LoadReport | None,
     ) -> None:
-        super().attempt_finished(id_, outcome, 0, closed, None)
+        super().attempt_finished(message_id, outcome, 0, final, None)
 
 
-class RestlessPolicy(DeliveryPolicy):
+class TimerRepeatingPolicy(DeliveryPolicy):
     """Asks for each timer again at once."""
 
     def timer_fired(self, token: str) -> None:
--- a/tests/support/drain_play.py
+++ b/tests/support/drain_setup.py
@@ -18,7 +18,7 @@
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from support.world import LIMITS, SETTINGS, World, wait_until
 
-STAYING, LEAVING = 1, 2  # destinations, each with one endpoint
+STAYING_DESTINATION, DRAINING_DESTINATION = 1, 2  # destinations, each with one endpoint
 SUBMISSION_PAUSE_S = 0.03
 CONFIGURATION_READ = "configuration read"
 
@@ -59,13 +59,13 @@
         self._server.stop(timeout=0)
 
 
-class DrainPlay:
+class DrainSetup:
     """Runs from `start` to `stop`. `agents`: the first one is where the sender begins."""
 
     def __init__(self, folder: Path, agents: int = 1) -> None:
         folder.mkdir()
-        self.stays = CountingEndpoint("stays", STAYING)
-        self.leaves = CountingEndpoint("leaves", LEAVING)
+        self.staying_endpoint = CountingEndpoint("stays", STAYING_DESTINATION)
+        self.draining_endpoint = CountingEndpoint("leaves", DRAINING_DESTINATION)
         self.agents = [DiscoveryAgent(self.members("up"), LIMITS) for _ in range(agents)]
         self.world = World(folder)
         # One of many senders, whose first polls are spread; and dials that take long to fail.
@@ -77,24 +77,24 @@
         self.clients: gevent.Greenlet[[], None] | None = None
 
     def members(self, phase: str, up_since_ms: int = 0) -> list[JsonObject]:
-        """The list with `leaves` in this phase."""
-        return [self.stays.member(), self.leaves.member(phase, up_since_ms)]
+        """The list with `draining_endpoint` in this phase."""
+        return [self.staying_endpoint.member(), self.draining_endpoint.member(phase, up_since_ms)]
 
     def start(self) -> None:
         """Returns as the sender is ready, with clients that submit from before that on."""
         self.clients = gevent.spawn(self._submit)
         self.world.start()
 
-    def watched(self) -> None:
+    def wait_for_poll(self) -> None:
         """Returns as a watch of the first agent is open."""
         wait_until(lambda: self.agents[0].polls and self.agents[0].polls[-1].index is not None)
-        wait_until(lambda: self.leaves.calls and self.stays.calls)
+        wait_until(lambda: self.draining_endpoint.calls and self.staying_endpoint.calls)
 
     def drain(self, agent: int = 0) -> None:
         """An agent has the drain from now on."""
         self.agents[agent].change(self.members("draining"), revision=5)
 
-    def move(self, address: str) -> None:
+    def change_discovery_address(self, address: str) -> None:
         """SIGHUP: discovery is at the address from now on."""
         self.world.config["discovery"] = address
         self.world.configure()
@@ -104,15 +104,15 @@
         self.world.process.send_signal(signal.SIGHUP)
         wait_until(lambda: log.read_text().count(CONFIGURATION_READ) > before)
 
-    def last_call(self) -> float:
+    def last_call_of_draining_endpoint(self) -> float:
         """When the draining endpoint was last called."""
-        return self.leaves.calls[-1] if self.leaves.calls else 0.0
+        return self.draining_endpoint.calls[-1] if self.draining_endpoint.calls else 0.0
 
     def _submit(self) -> None:
         number = 0
         while True:
             number += 1
-            destination = (STAYING, LEAVING)[number % 2]
+            destination = (STAYING_DESTINATION, DRAINING_DESTINATION)[number % 2]
             gevent.spawn(self.world.submit, f"m{number}", "free", "200", destination)
             gevent.sleep(SUBMISSION_PAUSE_S)
 
@@ -123,9 +123,9 @@
         self.world.stop()
         for agent in self.agents:
             agent.stop()
-        self.stays.stop()
-        self.leaves.stop()
+        self.staying_endpoint.stop()
+        self.draining_endpoint.stop()
 
 
-Scenario = Callable[[DrainPlay], float]
+Scenario = Callable[[DrainSetup], float]
 """Brings the faults about; returns when the drain counts as received, in seconds of the monotonic clock."""
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -33,7 +33,7 @@
 REFUSAL_TIME = 1_000
 RESTART_TIME = 600_000  # from a kill to the next incarnation
 TIME_LEFT = 20 * SECOND  # of a message, as it is submitted
-NUMBER = 7  # the destination that goes down
+FAILING_DESTINATION = 7  # the destination that goes down
 
 PolicyEvent = Callable[[DeliveryPolicy], None]
 
@@ -71,24 +71,24 @@
         self.event_count = 0
         self.senders = [FleetSender(self, number) for number in range(self.sender_count)]
 
-    def schedule(self, when: int, act: Callable[[], None]) -> None:
+    def schedule(self, when: int, action: Callable[[], None]) -> None:
         self.event_count += 1
-        heapq.heappush(self.events, (max(when, self.now), self.event_count, act))
+        heapq.heappush(self.events, (max(when, self.now), self.event_count, action))
 
-    def play(self) -> Fleet:
+    def run(self) -> Fleet:
         weights = [1 / (n + 1) if self.uneven else 1.0 for n in range(self.sender_count)]
         for sender, weight in zip(self.senders, weights, strict=True):
             sender.start(())
             share = weight / sum(weights)
-            for destination in range(NUMBER, NUMBER + self.destinations):
+            for destination in range(FAILING_DESTINATION, FAILING_DESTINATION + self.destinations):
                 rate = self.offered_load * self.capacity * share
                 self.schedule_submission(sender, destination, rate)
         for when in self.restarts:
             for sender in self.senders:
                 self.schedule(when, sender.kill)
         while self.events and self.events[0][0] <= self.ends_at:
-            self.now, _, act = heapq.heappop(self.events)
-            act()
+            self.now, _, action = heapq.heappop(self.events)
+            action()
         return self
 
     def schedule_submission(self, sender: FleetSender, destination: int, rate: float) -> None:
@@ -101,10 +101,10 @@
 
     def respond(self, destination: int) -> tuple[AttemptOutcome, int] | None:
         """What a call that arrives now ends as, and when; None: silence."""
-        down_at, back_at = self.outage
-        if destination != NUMBER or self.now < down_at:
+        down_at, recovers_at = self.outage
+        if destination != FAILING_DESTINATION or self.now < down_at:
             return AttemptOutcome.DELIVERED, RESPONSE_TIME
-        if self.now >= back_at:
+        if self.now >= recovers_at:
             self.calls.append(self.now)
             return AttemptOutcome.DELIVERED, RESPONSE_TIME
         self.calls_in_outage += 1
@@ -117,20 +117,20 @@
         capacity = self.capacity * (initial + (1 - initial) * warm)
         return settings.overload_multiple * capacity * settings.overload_duration / SECOND
 
-    def worst(self) -> tuple[float, float]:
+    def worst_window(self) -> tuple[float, float]:
         """The window that comes nearest to an overload, or goes furthest past it: calls in it, and what it
         may have with chance. The destination can do as much as at the window's end."""
-        found = (0.0, 1.0)
+        worst = (0.0, 1.0)
         for last, when in enumerate(self.calls):
             if when > self.outage[1] + self.settings.warm_up_time:
                 break
             window_start = when - self.settings.overload_duration
             count = sum(at > window_start for at in self.calls[: last + 1])
             budget = self.allowed_calls(when)
-            most = budget + 2 * sqrt(budget) + 2
-            if count / most > found[0] / found[1]:
-                found = (count, most)
-        return found
+            limit = budget + 2 * sqrt(budget) + 2
+            if count / limit > worst[0] / worst[1]:
+                worst = (count, limit)
+        return worst
 
 
 @dataclass
@@ -156,7 +156,7 @@
         """By destination, the rate before and until when it warms up; kept over a kill, too."""
         self.alive = False
 
-    def start(self, kept: tuple[int, ...]) -> None:
+    def start(self, restored_ids: tuple[int, ...]) -> None:
         fleet = self.fleet
         self.incarnation += 1
         self.alive = True
@@ -167,24 +167,24 @@
         )
         rows = [
             EndpointRecord(f"x{n}", n, 0, 0, EndpointStatus.ACTIVE, fleet.capacity)
-            for n in range(NUMBER, NUMBER + fleet.destinations)
+            for n in range(FAILING_DESTINATION, FAILING_DESTINATION + fleet.destinations)
         ]
         outages = [
             restore_outage(destination, rate)
             for destination, (rate, until) in self.outages.items()
             if until is None or until > fleet.now
         ]
-        restored = [self.restore(message_id) for message_id in kept]
+        restored = [self.restore(message_id) for message_id in restored_ids]
         self.run_batch(lambda policy: policy.update_endpoints(rows, complete=True), *outages, *restored)
 
     def restore(self, message_id: int) -> PolicyEvent:
         message = self.messages[message_id]
         since = message.in_flight_since
         endpoint_id = "" if since is None else f"x{message.destination}"
-        past = PreviousAttempts(message.attempts, since, endpoint_id, since is not None)
-        left = message.deadline_at - self.fleet.now
+        previous = PreviousAttempts(message.attempts, since, endpoint_id, since is not None)
+        time_left = message.deadline_at - self.fleet.now
         message.in_flight_since = None
-        return lambda policy: policy.restore(message_id, message.destination, 0, None, left, past)
+        return lambda policy: policy.restore(message_id, message.destination, 0, None, time_left, previous)
 
     def kill(self) -> None:
         self.alive = False
@@ -276,7 +276,7 @@
     late_value_share=0.3,
     ordered=False,
 )
-REPORTED = PolicySettings(
+WITH_LOAD_REPORTS = PolicySettings(
     seed=1,
     sender_index=0,
     sender_count=1,
@@ -305,9 +305,9 @@
 )
 # Two customers: one whose responses report limits, and one where none do and the listed rates are rough.
 CUSTOMERS = {
-    "load reports": REPORTED,
+    "load reports": WITH_LOAD_REPORTS,
     "no load reports": replace(
-        REPORTED,
+        WITH_LOAD_REPORTS,
         has_load_reports=False,
         initial_capacity_share=0.18,
         warm_up_time=12 * SECOND,
--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -13,7 +13,7 @@
 from support.world import ROOT
 
 FILE = ROOT / "KNOWN-RED.txt"
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 
 
 class KnownFailure(NamedTuple):
@@ -25,22 +25,22 @@
     issue: str
 
 
-def known_failures(text: str) -> list[KnownFailure]:
+def parse_known_failures(text: str) -> list[KnownFailure]:
     """Raises ValueError where a line has not its three fields, or where there are too many."""
-    found = []
+    failures = []
     for line in text.splitlines():
         if line.strip():
             test, cause, issue = (field.strip() for field in line.split("|"))
-            found.append(KnownFailure(test, cause, issue))
-    if len(found) > MOST:
-        reason = f"{len(found)} tests are known to fail, {MOST} at most may"
+            failures.append(KnownFailure(test, cause, issue))
+    if len(failures) > MAX_KNOWN_FAILURES:
+        reason = f"{len(failures)} tests are known to fail, {MAX_KNOWN_FAILURES} at most may"
         raise ValueError(reason)
-    return found
+    return failures
 
 
 def read_known_failures() -> list[KnownFailure]:
     """None where there is no file."""
-    return known_failures(FILE.read_text()) if FILE.exists() else []
+    return parse_known_failures(FILE.read_text()) if FILE.exists() else []
 
 
 def mark_known_failures(items: Sequence[pytest.Item]) -> None:
--- a/tests/support/loggers.py
+++ b/tests/support/loggers.py
@@ -24,11 +24,11 @@
         return cast(Logger, self)
 
 
-class _NoErrors:
+class _ErrorRaisingLogger:
     def error(self, event: str, **details: object) -> None:
         raise AssertionError((event, details))
 
 
-def no_errors() -> Logger:
+def error_raising_logger() -> Logger:
     """One that refuses errors: stored data that cannot be read is logged as one."""
-    return cast(Logger, _NoErrors())
+    return cast(Logger, _ErrorRaisingLogger())
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -199,22 +199,25 @@
 
     def mode_changed(self, text: str, destination: int, endpoint_id: str, down: bool, rate: float) -> None:
         self.events.append(f"log {text}")
-        place = (destination, endpoint_id)
-        if down or self.outages.get(place, (0.0, 0))[1] is None:
-            self.outages[place] = (rate, None if down else self.now + self.settings.warm_up_time)
+        outage_key = (destination, endpoint_id)
+        if down or self.outages.get(outage_key, (0.0, 0))[1] is None:
+            self.outages[outage_key] = (
+                rate,
+                None if down else self.now + self.settings.warm_up_time,
+            )
 
     # What happens to it.
 
     def start(self) -> None:
-        self.settings = self.with_rows(self.settings)
+        self.settings = self.with_classes_and_kinds(self.settings)
         self.policy = self.make_policy(self.settings, self)
-        self.run_batch(self.whole_list())
+        self.run_batch(self.complete_list())
 
-    def with_rows(self, settings: PolicySettings) -> PolicySettings:
+    def with_classes_and_kinds(self, settings: PolicySettings) -> PolicySettings:
         classes = tuple(self.traffic_classes)
         return replace(settings, traffic_classes=classes, destination_kinds=tuple(self.kinds))
 
-    def whole_list(self) -> PolicyEvent:
+    def complete_list(self) -> PolicyEvent:
         rows = list(self.endpoints.values())
         return lambda policy: policy.update_endpoints(rows, complete=True)
 
@@ -227,7 +230,11 @@
     def run_to(self, moment: int) -> None:
         """Time passes: timers and time-outs fall due; no message may be left without an answer."""
         while True:
-            due = [(m.due_at, 0, id_, "") for id_, m in self.messages.items() if m.endpoint_id is not None]
+            due = [
+                (m.due_at, 0, message_id, "")
+                for message_id, m in self.messages.items()
+                if m.endpoint_id is not None
+            ]
             due += [(at, 1, order, token) for at, order, token in self.timers]
             at, is_timer, number, token = min(due, default=(moment + 1, 0, 0, ""))
             if at > moment:
@@ -239,9 +246,9 @@
             else:
                 self.finish_attempts([number], AttemptOutcome.TIMED_OUT)
         self.now = moment
-        for id_, message in self.messages.items():
+        for message_id, message in self.messages.items():
             in_time = message.finished or self.now <= message.deadline_at + ANSWER_SLACK
-            assert in_time, f"{self.name(id_)} got no answer in time"
+            assert in_time, f"{self.name(message_id)} got no answer in time"
 
     def finish_attempts(
         self,
@@ -253,27 +260,27 @@
         """Outcomes of one batch."""
         batch: list[PolicyEvent] = []
         routes = []
-        for id_ in ids:
-            message = self.messages[id_]
-            assert message.endpoint_id is not None, f"{self.name(id_)} has no attempt in flight"
+        for message_id in ids:
+            message = self.messages[message_id]
+            assert message.endpoint_id is not None, f"{self.name(message_id)} has no attempt in flight"
             routes.append(self.route(message.endpoint_id))
-            self.resolve(id_, message, outcome)
+            self.resolve(message_id, message, outcome)
             if outcome is AttemptOutcome.DELIVERED and not message.finished:
                 message.finished = True
-                self.events.append(f"delivered {self.name(id_)}")
-            batch.append(attempt_finished(id_, outcome, retry_after, message.finished, report))
+                self.events.append(f"delivered {self.name(message_id)}")
+            batch.append(attempt_finished(message_id, outcome, retry_after, message.finished, report))
         self.run_batch(*batch)
         for route in routes:
             self.retry_after[route] = max(self.retry_after.get(route, 0), self.now + retry_after)
 
-    def resolve(self, id_: int, message: TrackedMessage, outcome: AttemptOutcome | None) -> None:
+    def resolve(self, message_id: int, message: TrackedMessage, outcome: AttemptOutcome | None) -> None:
         """Its attempt is over; without an outcome it may have run, and may still run."""
         assert message.endpoint_id is not None
         if outcome not in NEVER_RAN and message.first_run_at is None:
             message.first_run_at = message.started_at
             message.first_run_endpoint = message.endpoint_id
         if (outcome is None or outcome in MAY_STILL_RUN) and message.ordering_key is not None:
-            self.settling[message.ordering_key] = (self.now + self.settings.settle_time, id_)
+            self.settling[message.ordering_key] = (self.now + self.settings.settle_time, message_id)
         message.endpoint_id = None
 
     def restart(self) -> None:
@@ -281,32 +288,32 @@
         self.timers = []
         self.retry_after = {}
         restored: list[PolicyEvent] = []
-        for id_, message in self.messages.items():
+        for message_id, message in self.messages.items():
             unresolved = message.endpoint_id is not None
             if unresolved:
-                self.resolve(id_, message, None)
+                self.resolve(message_id, message, None)
             if not message.finished:
-                restored.append(self.restore(id_, message, unresolved=unresolved))
+                restored.append(self.restore(message_id, message, unresolved=unresolved))
         self.policy = self.make_policy(self.settings, self)
-        lasting = [
-            restore_outage(place, rate)
-            for place, (rate, until) in self.outages.items()
+        ongoing_outages = [
+            restore_outage(outage_key, rate)
+            for outage_key, (rate, until) in self.outages.items()
             if until is None or until > self.now
         ]
-        self.run_batch(self.whole_list(), *lasting, *restored)
+        self.run_batch(self.complete_list(), *ongoing_outages, *restored)
 
-    def restore(self, id_: int, message: TrackedMessage, *, unresolved: bool) -> PolicyEvent:
+    def restore(self, message_id: int, message: TrackedMessage, *, unresolved: bool) -> PolicyEvent:
         traffic_class = self.traffic_classes.index(message.traffic_class)
-        left = message.deadline_at - self.now
-        past = PreviousAttempts(
+        time_left = message.deadline_at - self.now
+        previous = PreviousAttempts(
             message.attempts, message.first_run_at, message.first_run_endpoint, unresolved
         )
         return lambda policy: policy.restore(
-            id_, message.destination, traffic_class, message.ordering_key, left, past
+            message_id, message.destination, traffic_class, message.ordering_key, time_left, previous
         )
 
     def name(self, message_id: int) -> str:
-        return next(name for name, id_ in self.ids.items() if id_ == message_id)
+        return next(name for name, named_id in self.ids.items() if named_id == message_id)
 
     def route(self, endpoint_id: str) -> Hashable:
         row = self.endpoints[endpoint_id]
@@ -318,10 +325,10 @@
 
 
 def attempt_finished(
-    id_: int, outcome: AttemptOutcome, retry_after: int, finished: bool, report: LoadReport | None
+    message_id: int, outcome: AttemptOutcome, retry_after: int, finished: bool, report: LoadReport | None
 ) -> PolicyEvent:
-    return lambda policy: policy.attempt_finished(id_, outcome, retry_after, finished, report)
+    return lambda policy: policy.attempt_finished(message_id, outcome, retry_after, finished, report)
 
 
-def restore_outage(place: tuple[int, str], rate: float) -> PolicyEvent:
-    return lambda policy: policy.restore_outage(*place, rate)
+def restore_outage(outage_key: tuple[int, str], rate: float) -> PolicyEvent:
+    return lambda policy: policy.restore_outage(*outage_key, rate)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -54,25 +54,25 @@
 FLAGS = ("has_load_reports", "has_listed_rates", "gossip_enabled", "reports_full_connection_table")
 
 
-def span(text: str) -> int:
+def parse_duration(text: str) -> int:
     """Whole microseconds.
 
-    >>> span("1.5s"), span("20ms")
+    >>> parse_duration("1.5s"), parse_duration("20ms")
     (1500000, 20000)
     """
     unit = "ms" if text.endswith("ms") else "s"
     return round(float(text.removesuffix(unit)) * {"ms": 1_000, "s": 1_000_000}[unit])
 
 
-def setting(text: str) -> int | float | tuple[float, ...]:
+def parse_setting(text: str) -> int | float | tuple[float, ...]:
     """The value of a setting: a time, a number, or numbers in order.
 
-    >>> setting("2s"), setting("40"), setting("0.04/0.01")
+    >>> parse_setting("2s"), parse_setting("40"), parse_setting("0.04/0.01")
     (2000000, 40, (0.04, 0.01))
     """
     if "/" in text:
         return tuple(float(part) for part in text.split("/"))
-    return span(text) if text.endswith("s") else int(text)
+    return parse_duration(text) if text.endswith("s") else int(text)
 
 
 class ScenarioError(AssertionError):
@@ -102,7 +102,7 @@
             "pass": lambda _names, _named: None,
         }
 
-    def play(self, text: str) -> None:
+    def run(self, text: str) -> None:
         for number, line in enumerate(text.splitlines(), 1):
             words = line.split("#")[0].split()
             try:
@@ -114,30 +114,30 @@
 
     def step(self, words: list[str]) -> None:
         verb = words[0]
-        plain = [word for word in words[1:] if "=" not in word]
+        positional = [word for word in words[1:] if "=" not in word]
         named = dict(word.split("=") for word in words[1:] if "=" in word)
         if verb == "settings":
             self.change_settings(named)
         elif verb == "class":
-            self.add_class(plain[0], plain[1], plain[2:], named)
+            self.add_class(positional[0], positional[1], positional[2:], named)
         elif verb == "kind":
-            kind = DestinationKindSettings("per_endpoint" in plain, int(named.get("batch", 1)))
+            kind = DestinationKindSettings("per_endpoint" in positional, int(named.get("batch", 1)))
             self.kinds.append(kind)
         elif verb == "endpoints":
-            self.add_endpoints(plain[: plain.index(":")], int(plain[-1]), named)
+            self.add_endpoints(positional[: positional.index(":")], int(positional[-1]), named)
         elif verb == "expect":
             self.expect(" ".join(words[1:]))
         else:
             if not self.started:
                 self.start_with_defaults()
-            self.run_to(self.now + span(verb[1:]) if verb.startswith("+") else span(verb))
-            self.happen(plain[0], plain[1:], named)
+            self.run_to(self.now + parse_duration(verb[1:]) if verb.startswith("+") else parse_duration(verb))
+            self.apply_event(positional[0], positional[1:], named)
 
     # The head.
 
     def change_settings(self, named: dict[str, str]) -> None:
         for name, text in named.items():
-            value = setting(text)
+            value = parse_setting(text)
             changes = {name: bool(value) if name in FLAGS else value}
             self.settings = replace(self.settings, **changes)
 
@@ -146,10 +146,10 @@
         self.traffic_classes.append(
             TrafficClassSettings(
                 value=float(named.get("value", 1)),
-                latency_objective=span(named.get("objective", "2s")),
-                deadline=span(named.get("deadline", "10s")),
+                latency_objective=parse_duration(named.get("objective", "2s")),
+                deadline=parse_duration(named.get("deadline", "10s")),
                 retry_safety=RETRY_SAFETY[safety],
-                deduplication_window=span(named.get("window", "0s")),
+                deduplication_window=parse_duration(named.get("window", "0s")),
                 deduplicates_across_zones="one_zone" not in flags,
                 late_value_share=0.3,
                 ordered="ordered" in flags,
@@ -175,7 +175,7 @@
 
     # What happens.
 
-    def happen(self, what: str, names: list[str], named: dict[str, str]) -> None:
+    def apply_event(self, what: str, names: list[str], named: dict[str, str]) -> None:
         if what in LISTINGS:
             self.change_listing(what, names)
         elif what in OUTCOMES:
@@ -186,7 +186,7 @@
 
     def report_outcome(self, outcome: AttemptOutcome, names: list[str], named: dict[str, str]) -> None:
         report = LoadReport(float(named["quota"]), float(named["rate"])) if "rate" in named else None
-        retry_after = span(named.get("retry_after", "0s"))
+        retry_after = parse_duration(named.get("retry_after", "0s"))
         self.finish_attempts([self.ids[name] for name in names], outcome, retry_after, report)
 
     def detach(self, names: list[str], _: dict[str, str]) -> None:
@@ -199,7 +199,7 @@
 
     def share_retry_afters(self, names: list[str], named: dict[str, str]) -> None:
         for name in names:
-            self.share_retry_after(name, self.now + span(named["retry_after"]))
+            self.share_retry_after(name, self.now + parse_duration(named["retry_after"]))
 
     def disconnect_clients(self, names: list[str], _: dict[str, str]) -> None:
         for name in names:
@@ -208,8 +208,8 @@
     def reload(self, names: list[str], named: dict[str, str]) -> None:
         self.kinds = [DestinationKindSettings("per_endpoint" in names, max_batch_size=1)]
         self.change_settings(named)
-        self.settings = self.with_rows(self.settings)
-        self.run_batch(lambda policy: policy.apply_settings(self.settings), self.whole_list())
+        self.settings = self.with_classes_and_kinds(self.settings)
+        self.run_batch(lambda policy: policy.apply_settings(self.settings), self.complete_list())
 
     def poll_failed(self, _names: list[str], _named: dict[str, str]) -> None:
         self.run_batch(lambda policy: policy.endpoint_poll_failed())
@@ -221,15 +221,20 @@
     def submit(self, names: list[str], class_name: str, destination: int, named: dict[str, str]) -> None:
         index = self.class_names.index(class_name)
         traffic_class = self.traffic_classes[index]
-        left = span(named["deadline"]) if "deadline" in named else traffic_class.deadline
+        time_left = parse_duration(named["deadline"]) if "deadline" in named else traffic_class.deadline
         key = int(named["key"]) if "key" in named else None
         ids = []
         for name in names:
-            id_ = self.ids[name] = len(self.ids)
-            ids.append(id_)
-            self.messages[id_] = TrackedMessage(traffic_class, destination, key, self.now + left)
+            message_id = self.ids[name] = len(self.ids)
+            ids.append(message_id)
+            self.messages[message_id] = TrackedMessage(traffic_class, destination, key, self.now + time_left)
         self.run_batch(
-            *(lambda policy, id_=id_: policy.submit(id_, destination, index, key, left) for id_ in ids)
+            *(
+                lambda policy, message_id=message_id: policy.submit(
+                    message_id, destination, index, key, time_left
+                )
+                for message_id in ids
+            )
         )
 
     def change_listing(self, what: str, names: list[str]) -> None:
@@ -292,10 +297,10 @@
             return
         self.events.clear()
 
-    def expect_allowance(self, destination: int, most: float) -> None:
+    def expect_allowance(self, destination: int, max_rate: float) -> None:
         gate = self.gate(destination)
         gate.outage.down = True  # as if it were now
-        assert 0 < gate.allowance(self.now) <= most
+        assert 0 < gate.allowance(self.now) <= max_rate
 
     def gate(self, destination: int) -> Gate:
         gate = self.policy.destinations[destination].gate
--- a/tests/support/server.py
+++ b/tests/support/server.py
@@ -19,14 +19,14 @@
 from support.world import LIMITS, World, wait_until
 
 
-def live(world: World) -> dict[int, StoredMessage]:
+def live_messages(world: World) -> dict[int, StoredMessage]:
     """What the sender's ledger holds, read from a copy."""
     copy = world.folder / f"copy{len(list(world.folder.iterdir()))}"
     copy.mkdir()
     (copy / "journal").write_bytes((world.folder / "state" / "journal").read_bytes())
-    ledger = WriteAheadLog(copy, LIMITS.disk_bytes)
-    ledger.close()
-    return ledger.messages.live
+    write_ahead_log = WriteAheadLog(copy, LIMITS.disk_bytes)
+    write_ahead_log.close()
+    return write_ahead_log.messages.live
 
 
 LOG = structlog.get_logger()
@@ -41,9 +41,9 @@
 def tcp_pair() -> tuple[socket.socket, socket.socket]:
     """Two ends of a TCP connection over loopback: what a reset takes back shows on these alone."""
     with standard_socket.create_server(("127.0.0.1", 0)) as server:
-        far = socket.create_connection(server.getsockname())
+        client_end = socket.create_connection(server.getsockname())
         accepted = server.accept()[0]
-        return socket.socket(fileno=accepted.detach()), far
+        return socket.socket(fileno=accepted.detach()), client_end
 
 
 def reload_configuration(world: World, event: str, **changes: object) -> None:
@@ -57,21 +57,21 @@
     wait_until(lambda: log.read_text().count(event) > before)
 
 
-def receive_all(far: socket.socket) -> bytes:
+def receive_all(client_end: socket.socket) -> bytes:
     """All bytes up to an end in order; raises ConnectionResetError where it was none."""
     data = b""
     with Timeout(20):
-        while piece := far.recv(65536):
+        while piece := client_end.recv(65536):
             data += piece
     return data
 
 
-def serve(listener: ClientListener, near: socket.socket) -> gevent.Greenlet[[HttpConnection], None]:
+def serve(listener: ClientListener, server_end: socket.socket) -> gevent.Greenlet[[HttpConnection], None]:
     """Serves one connection in a greenlet of its own."""
-    return gevent.spawn(listener.serve, HttpConnection(near, LIMITS))
+    return gevent.spawn(listener.serve, HttpConnection(server_end, LIMITS))
 
 
-READY = encode_message(b"GET /health/ready HTTP/1.1", [], b"")
+READINESS_REQUEST = encode_message(b"GET /health/ready HTTP/1.1", [], b"")
 
 
 def terminate(world: World) -> None:
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -67,17 +67,17 @@
 
 def client_listener(folder: Path, max_bytes: int = 1 << 20, **limits: float) -> ListenerStages:
     """A listener that serves destination 1 and does not listen; `limits` in place of the usual ones."""
-    used = replace(LIMITS, **limits)
+    server_limits = replace(LIMITS, **limits)
     log = WriteAheadLog(folder, max_bytes)
     receiver = RecordingReceiver()
     logger = structlog.get_logger()
-    registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(used), logger)
+    registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(server_limits), logger)
     registry.apply_members(
         [{"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}], complete=True
     )
     class_ids = {name: number for number, name in enumerate(TRAFFIC_CLASSES)}
     admission = Admission(POLICY_SETTINGS, class_ids, registry, receiver, log, logger)
-    return ListenerStages(ClientListener(("127.0.0.1", 1), used, admission, logger), receiver, log)
+    return ListenerStages(ClientListener(("127.0.0.1", 1), server_limits, admission, logger), receiver, log)
 
 
 class SocketPairConnection(HttpConnection):
@@ -91,9 +91,9 @@
 
 def read_request(data: bytes) -> HttpRequest:
     """The request that stands in these bytes."""
-    near, far = socket.socketpair()
-    far.sendall(data)
-    return SocketPairConnection(near).read_request()
+    local_end, remote_end = socket.socketpair()
+    remote_end.sendall(data)
+    return SocketPairConnection(local_end).read_request()
 
 
 class DeliveryStages:
--- a/tests/support/standalone.py
+++ b/tests/support/standalone.py
@@ -47,7 +47,7 @@
 LOG_FILE = -100  # no descriptor: standard output goes to the log's file
 
 
-class Alone(World):
+class StandaloneSender(World):
     """`destinations` are the file's tables, each with the endpoints' address until a test changes them."""
 
     def __init__(self, folder: Path, tracks: str = TRACKS, rest: str = RULES) -> None:
@@ -105,15 +105,15 @@
             preexec_fn=preexec_fn,
         )
 
-    def reread(self) -> str:
+    def reload(self) -> str:
         """Sends SIGHUP; the line of the log that says what was applied, or why nothing was."""
-        before = self.lines("configuration ")
+        before = self.log_lines("configuration ")
         assert self.process is not None
         self.process.send_signal(signal.SIGHUP)
-        wait_until(lambda: len(self.lines("configuration ")) > len(before))
-        return self.lines("configuration ")[-1]
+        wait_until(lambda: len(self.log_lines("configuration ")) > len(before))
+        return self.log_lines("configuration ")[-1]
 
-    def lines(self, words: str) -> list[str]:
+    def log_lines(self, words: str) -> list[str]:
         """Those of the log that have the words."""
         return [line for line in (self.folder / "log").read_text().splitlines() if words in line]
 
@@ -132,6 +132,6 @@
         found = self.get(f"/envelopes/{trace}")
         return "unknown" if isinstance(found, int) else str(found["state"])
 
-    def ends(self, trace: str, state: str) -> Callable[[], bool]:
+    def has_state(self, trace: str, state: str) -> Callable[[], bool]:
         """A condition to wait for: that the message is in the state."""
         return lambda: self.state(trace) == state
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -115,20 +115,22 @@
     A sender runs in a process of its own, if at all; endpoints and the platform's agent are servers here.
     """
 
-    def __init__(self, folder: Path, known: int = 40, inherited: socket.socket | None = None) -> None:
+    def __init__(
+        self, folder: Path, endpoint_count: int = 40, inherited: socket.socket | None = None
+    ) -> None:
         self.folder = folder
         self.inherited = inherited  # the listening socket that the sender is handed
         self.release = ROOT  # where the sender's package is: this tree, or an earlier release
         self.attempts: dict[str, list[HttpRequest]] = {}  # that came to endpoints, by trace id
         self.notifications: list[dict[str, Any]] = []
         self.notifications_to_reject = 0  # requests with notifications to be answered 503 first
-        self.watches: dict[int, int] = {}  # requests for the endpoint list, by the port of the agent
+        self.poll_counts: dict[int, int] = {}  # requests for the endpoint list, by the port of the agent
         self.process: subprocess.Popen[bytes] | None = None
         handlers = (self.serve_endpoint, self.serve_platform, self.serve_platform)
         self.servers = [StreamServer(("127.0.0.1", 0), handler) for handler in handlers]
         for server in self.servers:
             server.start()
-        self.members = [self.member(number) for number in range(known)]
+        self.members = [self.member(number) for number in range(endpoint_count)]
         self.faults: ProcessFaults | None = None  # of the sender's system calls
         self.address: Address = inherited.getsockname() if inherited else free_address()
         self.control_address = free_address()
@@ -292,17 +294,17 @@
         try:
             while call := connection.read_request():
                 if call.method == b"POST":
-                    connection.write(self.take_notifications(call))
+                    connection.write(self.accept_notifications(call))
                 else:
                     port = sock.getsockname()[1]
-                    self.watches[port] = self.watches.get(port, 0) + 1
+                    self.poll_counts[port] = self.poll_counts.get(port, 0) + 1
                     gevent.sleep(0.2)
                     body = json.dumps(self.config["known"]).encode()
                     connection.write(encode_message(b"HTTP/1.1 200 X", [], body))
         except (OSError, ConnectionClosedError):
             connection.close()
 
-    def take_notifications(self, call: HttpRequest) -> bytes:
+    def accept_notifications(self, call: HttpRequest) -> bytes:
         """The response to a request with notifications."""
         if self.notifications_to_reject:
             self.notifications_to_reject -= 1
--- a/tests/test_docstring_examples.py
+++ b/tests/test_docstring_examples.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("package", PACKAGES)
-def test_examples(package: ModuleType) -> None:
+def test_docstring_examples_of_each_package_pass(package: ModuleType) -> None:
     for module in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
         if not module.name.endswith(".__main__"):  # which would run the program
             found = importlib.import_module(module.name)
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 import pytest
-from support.known_failures import known_failures, read_known_failures
+from support.known_failures import parse_known_failures, read_known_failures
 from support.world import ROOT
 
 
-def test_each_line_names_a_test() -> None:
+def test_each_known_failure_names_an_existing_test() -> None:
     for failure in read_known_failures():
         path, _, name = failure.test.partition("::")
         assert f"def {name.partition('[')[0]}(" in (ROOT / path).read_text()
 
 
 @pytest.mark.parametrize("text", ["a test without a cause\n", "a | b | 1\n" * 4])
-def test_a_list_that_is_too_long_or_not_whole_is_refused(text: str) -> None:
+def test_too_long_or_incomplete_list_raises_value_error(text: str) -> None:
     with pytest.raises(ValueError, match=r"unpack|known to fail"):
-        known_failures(text)
+        parse_known_failures(text)
 
 
-def test_fields_are_read() -> None:
-    assert known_failures("a::b | why | 49\n\n") == [("a::b", "why", "49")]
+def test_known_failure_fields_are_parsed_from_line() -> None:
+    assert parse_known_failures("a::b | why | 49\n\n") == [("a::b", "why", "49")]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -15,11 +15,11 @@
 from ashpath.core.policy_settings import sender_settings
 
 SITES = ROOT / "deploy" / "sites"
-NAMES = ("harbour-dispatch", "orchard-events")
-WORDS = json.loads((SITES / "wire.json").read_text())["init"]["words"]
+SITE_NAMES = ("harbour-dispatch", "orchard-events")
+RETRY_SAFETY_WORDS = json.loads((SITES / "wire.json").read_text())["init"]["words"]
 
 
-def middle(value: float | list[float]) -> float:
+def midpoint(value: float | list[float]) -> float:
     return sum(value) / len(value) if isinstance(value, list) else value
 
 
@@ -33,7 +33,7 @@
                 "deadline": row["deadline_ms"],
                 "slo": row["aim_ms"],
                 "importance": row["worth"],
-                "repeat": WORDS[row["effect"]],
+                "repeat": RETRY_SAFETY_WORDS[row["effect"]],
                 "window": row.get("window_ms"),
                 "group": row.get("group"),
                 "late-worth": row["late_worth"],
@@ -60,8 +60,8 @@
             "fall-multiple": rules["fall_multiple"],
             "fall": rules["fall_ms"],
             "order-settle": rules.get("order_settle_ms"),
-            "cold-from": middle(tier["kind"][0]["cold_from"]),
-            "ramp-time": 1000 * middle(tier["kind"][0]["cold_s"]),
+            "cold-from": midpoint(tier["kind"][0]["cold_from"]),
+            "ramp-time": 1000 * midpoint(tier["kind"][0]["cold_s"]),
         },
         "specifics": {"slots": 12, "loses-worth": own["late"]},
         "membership-mode": site["discovery"]["mode"],
@@ -84,16 +84,18 @@
 
 def test_harbour_has_short_deadlines_and_load_reports(harbour: PolicySettings) -> None:
     classes = harbour.traffic_classes
-    windows = [one.deduplication_window for one in classes if one.deduplication_window]
-    assert {one.retry_safety for one in classes} == set(RetrySafety)
+    windows = [
+        traffic_class.deduplication_window for traffic_class in classes if traffic_class.deduplication_window
+    ]
+    assert {traffic_class.retry_safety for traffic_class in classes} == set(RetrySafety)
     assert min(windows) == 1_000_000
-    assert min(one.deadline for one in classes) == 6_000_000
+    assert min(traffic_class.deadline for traffic_class in classes) == 6_000_000
     assert harbour.has_load_reports
-    assert not any(one.ordered for one in classes)
+    assert not any(traffic_class.ordered for traffic_class in classes)
 
 
 def test_orchard_has_ordered_messages_and_no_load_reports(orchard: PolicySettings) -> None:
-    assert any(one.ordered for one in orchard.traffic_classes)
+    assert any(traffic_class.ordered for traffic_class in orchard.traffic_classes)
     assert orchard.settle_time
     assert not orchard.has_load_reports
 
@@ -109,20 +111,22 @@
         "max_attempts",
     ],
 )
-def test_no_setting_is_the_same(harbour: PolicySettings, orchard: PolicySettings, field: str) -> None:
+def test_setting_differs_between_the_two_sites(
+    harbour: PolicySettings, orchard: PolicySettings, field: str
+) -> None:
     assert getattr(harbour, field) != getattr(orchard, field)
 
 
-def test_they_are_of_different_sizes_and_share_no_name() -> None:
-    sites = [read(name) for name in NAMES]
+def test_sites_differ_in_size_and_share_no_name() -> None:
+    sites = [read(name) for name in SITE_NAMES]
     assert [len(site["net"]["zones"]) for site in sites] == [2, 3]
     assert [len(site["class"]) for site in sites] == [3, 2]
     names = [{row["name"] for row in site["class"] + site["tier"][0]["kind"]} for site in sites]
     assert not names[0] & names[1]
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_the_sender_serves_each(world: World, name: str) -> None:
+@pytest.mark.parametrize("name", SITE_NAMES)
+def test_sender_delivers_messages_of_each_site(world: World, name: str) -> None:
     """Every class: accepted, delivered, and what fails has the outcome that its effect allows."""
     site = read(name)
     site_settings = settings(site)
@@ -141,11 +145,11 @@
     for number, row in enumerate(site["class"]):
         at_most_once = row["effect"] == "unsafe"
         failing = f"bad{number}"
-        wait_until(partial(called, world, 1, f"good{number}", f"next{number}"))
+        wait_until(partial(was_called, world, 1, f"good{number}", f"next{number}"))
         if at_most_once:
             wait_until(partial(world.notified, failing))
         else:
-            wait_until(partial(called, world, 2, failing))
+            wait_until(partial(was_called, world, 2, failing))
         assert world.attempt_count(failing) == (1 if at_most_once else 2)
     unknown = world.submit("x", "no-such-class", "200", 1)
     assert unknown == 400
@@ -153,15 +157,15 @@
     assert world.process.poll() is None
 
 
-def called(world: World, times: int, *traces: str) -> bool:
+def was_called(world: World, times: int, *traces: str) -> bool:
     """Whether an endpoint was called so many times for each message."""
     return all(world.attempt_count(trace) == times for trace in traces)
 
 
-def test_nothing_of_a_customer_in_the_program() -> None:
+def test_program_contains_no_name_of_a_site() -> None:
     """No name of a deployment, its classes, kinds or zones in module, program or deploy file."""
     words: set[str] = set()
-    for name in NAMES:
+    for name in SITE_NAMES:
         site = read(name)
         words |= {name, *site["net"]["zones"]}
         words |= {row["name"] for row in site["class"] + site["tier"][0]["kind"]}
