--- a/benchmarks/kept.py
+++ b/benchmarks/figure_storage.py
@@ -14,16 +14,16 @@
 FIGURES = Path(__file__).parent / "figures"
 
 
-def commit() -> str:
+def measured_commit() -> str:
     """The commit that was measured; a + behind it where the work tree differs."""
     command = ["git", "-C", str(ROOT), "describe", "--always", "--dirty=+", "--exclude=*"]
     return subprocess.run(command, capture_output=True, text=True, check=True).stdout.strip()
 
 
-def keep(name: str, command: str, figures: Mapping[str, object]) -> None:
+def store_figures(name: str, command: str, figures: Mapping[str, object]) -> None:
     """Prints the figures and writes them beside the others, with what was run where."""
     machine = f"{os.cpu_count()} cores, Python {platform.python_version()}"
-    row = {"command": command, "commit": commit(), "machine": machine, **figures}
+    row = {"command": command, "commit": measured_commit(), "machine": machine, **figures}
     text = orjson.dumps(row, option=orjson.OPT_INDENT_2).decode()
     (FIGURES / f"{name}.json").write_text(text + "\n")
     print(text)
--- a/benchmarks/simulate.py
+++ b/benchmarks/simulate.py
@@ -25,7 +25,7 @@
 from ashpath.emulator.scoreboard import Scoreboard
 from ashpath.emulator.simulation.run import Simulation
 from ashpath.emulator.units import SECOND
-from benchmarks.kept import keep
+from benchmarks.figure_storage import store_figures
 
 RATE = 4.5  # requests a second and sender, as in the scenario itself
 SENDERS_OF_SCENARIO = 200
@@ -52,11 +52,11 @@
 def measure_speed() -> None:
     """Measures and keeps the figures of `speed`."""
     rows = {str(senders): _timed_run(senders) for senders in SENDERS_MEASURED}
-    most = str(max(SENDERS_MEASURED))
-    least = str(min(SENDERS_MEASURED))
-    ratio = round(rows[most]["us_an_envelope"] / rows[least]["us_an_envelope"], 2)
+    most_senders = str(max(SENDERS_MEASURED))
+    fewest_senders = str(min(SENDERS_MEASURED))
+    ratio = round(rows[most_senders]["us_an_envelope"] / rows[fewest_senders]["us_an_envelope"], 2)
     figures = {"senders": rows, "cost_at_300_to_30": ratio, "share_of_time_by_file": _time_by_file()}
-    keep("rehearse-speed", "python -m benchmarks.simulate speed", figures)
+    store_figures("rehearse-speed", "python -m benchmarks.simulate speed", figures)
 
 
 def _timed_run(senders: int) -> dict[str, float]:
@@ -92,11 +92,11 @@
     """Measures and keeps the figures of `days`."""
     rows: dict[str, Any] = {}
     for path in sorted(SCENARIO_LIBRARY.glob("*.toml")):
-        few = min(seeds, SEEDS_OF_LONG_SCENARIO) if path.stem == LONG_SCENARIO else seeds
-        row = _policies_on(path, few, jobs)
+        seed_count = min(seeds, SEEDS_OF_LONG_SCENARIO) if path.stem == LONG_SCENARIO else seeds
+        row = _policies_on(path, seed_count, jobs)
         rows[path.stem] = row
         print(path.stem, {policy: (one["g"], one["rules"]) for policy, one in row.items()}, flush=True)
-    keep("rehearse-days", f"python -m benchmarks.simulate days {seeds} {jobs}", {"days": rows})
+    store_figures("rehearse-days", f"python -m benchmarks.simulate days {seeds} {jobs}", {"days": rows})
 
 
 def _policies_on(path: Path, seeds: int, jobs: int) -> dict[str, dict[str, float]]:
@@ -116,8 +116,8 @@
 
 def main() -> None:
     """The command."""
-    what = sys.argv[1] if len(sys.argv) > 1 else "speed"
-    if what == "speed":
+    command = sys.argv[1] if len(sys.argv) > 1 else "speed"
+    if command == "speed":
         measure_speed()
         return
     seeds = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_SEEDS
--- a/benchmarks/simulation_figures.py
+++ b/benchmarks/simulation_figures.py
@@ -25,27 +25,27 @@
 STORED = Path(__file__).parent.parent / "tests" / "fixtures" / "simulation_figures.json"
 SCENARIOS = ("silent-bank", "burst", "kills", "in-turn", "fast-errors", "fleet-calm")
 SEEDS = (1, 2)
-PLACES = 6  # of a sum of values: its last bits depend on the machine's library of functions
+DECIMAL_PLACES = 6  # of a sum of values: its last bits depend on the machine's library of functions
 
 Figures = dict[str, Any]
 
 
-def names() -> list[str]:
+def outcome_names() -> list[str]:
     """Every scenario with every seed, as they are named in the file."""
     return [f"{scenario} seed {seed}" for scenario in SCENARIOS for seed in SEEDS]
 
 
-def play(name: str) -> Figures:
+def run_scenario(name: str) -> Figures:
     """The outcome of one scenario: what the emulator writes, and figures that it rounds or leaves out."""
     scenario, _, seed = name.partition(" seed ")
     path = scenario_path(scenario)
-    read = read_scenario(path)
-    scoreboard = Scoreboard(list(read.traffic_classes), keeps_mode_changes=True)
-    Simulation(read, path.parent, int(seed), POLICIES[DELIVERY_POLICY], scoreboard).run()
+    scenario_file = read_scenario(path)
+    scoreboard = Scoreboard(list(scenario_file.traffic_classes), keeps_mode_changes=True)
+    Simulation(scenario_file, path.parent, int(seed), POLICIES[DELIVERY_POLICY], scoreboard).run()
     return {
         **scoreboard.result(),
-        "payoff_asked_for": [round(value, PLACES) for value in scoreboard.value_requested],
-        "payoff_delivered": [round(value, PLACES) for value in scoreboard.value_delivered],
+        "payoff_asked_for": [round(value, DECIMAL_PLACES) for value in scoreboard.value_requested],
+        "payoff_delivered": [round(value, DECIMAL_PLACES) for value in scoreboard.value_delivered],
         "changes_of_mode": mode_change_digest(scoreboard),
     }
 
@@ -56,12 +56,12 @@
     return {"count": len(changes), "sha256": sha256(orjson.dumps(changes)).hexdigest()}
 
 
-def stored() -> dict[str, Figures]:
+def read_stored_figures() -> dict[str, Figures]:
     """The stored outcomes, by name."""
     return dict(orjson.loads(STORED.read_bytes()))
 
 
-def as_stored(figures: Figures) -> Figures:
+def after_json_round_trip(figures: Figures) -> Figures:
     """As they are once written and read."""
     return dict(orjson.loads(orjson.dumps(figures)))
 
@@ -77,7 +77,7 @@
 
 def write() -> int:
     """Stores what is played now; the exit code."""
-    figures = {name: play(name) for name in names()}
+    figures = {name: run_scenario(name) for name in outcome_names()}
     STORED.write_bytes(orjson.dumps(figures, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
     print(f"{len(figures)} outcomes written to {STORED.name}")
     return 0
@@ -85,15 +85,15 @@
 
 def compare() -> int:
     """The exit code: 1 if a figure differs."""
-    expected = stored()
+    expected = read_stored_figures()
     changed = 0
-    for name in names():
-        lines = differences(expected[name], as_stored(play(name)))
+    for name in outcome_names():
+        lines = differences(expected[name], after_json_round_trip(run_scenario(name)))
         changed += bool(lines)
         print(f"{name}: {'CHANGED' if lines else 'as stored'}", flush=True)
         for line in lines:
             print(f"    {line}")
-    print(f"{changed} of {len(names())} outcomes changed")
+    print(f"{changed} of {len(outcome_names())} outcomes changed")
     return 1 if changed else 0
 
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -24,10 +24,10 @@
 from ashpath.emulator.soak.judge import BrokenRule, RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
 
-SHOWN = 4  # findings of one seed that are printed
+MAX_FINDINGS_SHOWN = 4  # findings of one seed that are printed
 
 
-def play_seed(seed: int, folder: Path) -> list[BrokenRule]:
+def run_seed(seed: int, folder: Path) -> list[BrokenRule]:
     """The rules that one day broke; its records are in the folder then."""
     plan = draw_plan(seed)
     run_folder = folder / f"seed-{seed}"
@@ -42,11 +42,11 @@
     line = (
         f"seed {seed}: {len(records.submissions)} requests, {accepted} accepted, {len(records.calls)} calls"
     )
-    print(line, *map(str, broken[:SHOWN]), sep="\n  ", flush=True)
+    print(line, *map(str, broken[:MAX_FINDINGS_SHOWN]), sep="\n  ", flush=True)
     return broken
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """`3` or `1..50`. Raises ValueError."""
     first, _, last = text.partition("..")
     return list(range(int(first), int(last or first) + 1))
@@ -54,7 +54,7 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--seeds", type=seeds_of, default=seeds_of("1..50"))
+    parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1..50"))
     parser.add_argument("--side-by-side", type=int, default=4)
     parser.add_argument("--keep", type=Path, default=None)
     options = parser.parse_args()
@@ -62,7 +62,7 @@
     failed: list[int] = []
 
     def play(seed: int) -> None:
-        if play_seed(seed, folder):
+        if run_seed(seed, folder):
             failed.append(seed)
 
     pool = Pool(options.side_by_side)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -25,10 +25,10 @@
 
 from ashpath.config.loading import read_configuration
 from ashpath.config.platform_form import platform_form
-from benchmarks.kept import ROOT, keep
+from benchmarks.figure_storage import ROOT, store_figures
 
 RUNS = 5
-MOST_START_S = 30
+START_TIMEOUT_S = 30
 READINESS_POLL_S = 0.002
 SENDER = """[sender]
 name = "n0"
@@ -73,13 +73,13 @@
         """Starts it, and kills it once it is ready."""
         began = time.perf_counter()
         # Byte code is kept, as it is wherever a sender is installed: all variants start from it.
-        kept = {name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"}
+        inherited = {name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"}
         process = subprocess.Popen(
-            self.command, cwd=self.directory, env=kept | self.environment, stdout=subprocess.DEVNULL
+            self.command, cwd=self.directory, env=inherited | self.environment, stdout=subprocess.DEVNULL
         )
         try:
             while not is_ready(self.port):
-                if process.poll() is not None or time.perf_counter() - began > MOST_START_S:
+                if process.poll() is not None or time.perf_counter() - began > START_TIMEOUT_S:
                     failure = f"not started: {self.command}"
                     raise SystemExit(failure)
                 time.sleep(READINESS_POLL_S)
@@ -150,13 +150,13 @@
     names = [SERVE, PLATFORM, *([PLATFORM_AT_BASE] if base else [])]
     found: dict[str, Start] = {}
     for name in names:
-        place = folder / name.replace(" ", "-")
-        (place / "state").mkdir(parents=True)
+        variant_folder = folder / name.replace(" ", "-")
+        (variant_folder / "state").mkdir(parents=True)
         if name == SERVE:
-            variant = serve_variant(place)
+            variant = serve_variant(variant_folder)
         else:
             tree = base if base is not None and name == PLATFORM_AT_BASE else ROOT
-            variant = platform_variant(place, tree)
+            variant = platform_variant(variant_folder, tree)
         found[name] = variant.start()
     return found
 
@@ -196,8 +196,8 @@
 def main() -> None:
     """Measures and keeps the figures."""
     runs = int(sys.argv[1]) if len(sys.argv) > 1 else RUNS
-    with tempfile.TemporaryDirectory() as made:
-        folder = Path(made)
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
         base: Path | None = None
         if len(sys.argv) > 2:
             base = folder / "base"
@@ -206,7 +206,7 @@
         rows = [start_each(folder / f"run-{run}", base) for run in range(runs)]
     figures = {name: figures_of([row[name] for row in rows]) for name in rows[0]}
     command = f"python -m benchmarks.start {' '.join(sys.argv[1:])}".strip()
-    keep("start", command, figures | {"ratios": ratios(rows)})
+    store_figures("start", command, figures | {"ratios": ratios(rows)})
 
 
 if __name__ == "__main__":
--- a/benchmarks/tap.py
+++ b/benchmarks/tap.py
@@ -25,7 +25,7 @@
 import orjson
 
 ROW_MS = 2_500.0
-MOST_FAILED_ROWS = 10
+MAX_FAILED_ROWS = 10
 KEEPS_CONNECTION = ("Ok", "Failed", "QueueFull")
 CANCELLED = "Canceled"
 ANSWERED_SLOTS = "answered"
@@ -57,7 +57,7 @@
     message: int
 
 
-class Place(NamedTuple):
+class ConnectionKey(NamedTuple):
     """Where connections are held: of one sender to one endpoint."""
 
     sender: int
@@ -116,8 +116,8 @@
         self._failed: Counter[tuple[int, str]] = Counter()  # by number of attempts and the first outcome
         self._in_flight: dict[AttemptKey, Call] = {}
         self._attempts_left: Counter[Call] = Counter()
-        self._idle_since: dict[Place, list[float]] = {}
-        self._released: set[Place] = set()
+        self._idle_since: dict[ConnectionKey, list[float]] = {}
+        self._released: set[ConnectionKey] = set()
         self._attempts: dict[AttemptKey, list[str]] = defaultdict(list)  # outcomes, by message
         self._handlers: dict[str, Callable[[int, dict[str, Any]], None]] = {
             "Hello": self._hello,
@@ -160,18 +160,18 @@
         self._attempts_left[call] += 1
         if not joins_another:
             self._calls[kind] += 1
-            self._connections[kind][self._take_connection(Place(sender, endpoint))] += 1
+            self._connections[kind][self._take_connection(ConnectionKey(sender, endpoint))] += 1
 
-    def _take_connection(self, place: Place) -> str:
+    def _take_connection(self, connection_key: ConnectionKey) -> str:
         """How a call came by its connection."""
-        idle = self._idle_since.get(place, [])
+        idle = self._idle_since.get(connection_key, [])
         usable = [since for since in idle if self._clock_ms - since < self._idle_timeout_ms]
-        self._idle_since[place] = usable[:-1]
+        self._idle_since[connection_key] = usable[:-1]
         if usable:
             return "kept"
         if idle:
             return "idled"
-        return "given back" if place in self._released else "first"
+        return "given back" if connection_key in self._released else "first"
 
     def _call_returned(self, sender: int, body: dict[str, Any]) -> None:
         endpoint = body["endpoint"]
@@ -188,7 +188,7 @@
             kind = CANCELLED_SLOTS if outcome == CANCELLED else ANSWERED_SLOTS
             self._add_slot_time(self._clock_ms - body["delay-seen"], kind)
             if outcome in KEEPS_CONNECTION:
-                self._idle_since.setdefault(Place(sender, endpoint), []).append(self._clock_ms)
+                self._idle_since.setdefault(ConnectionKey(sender, endpoint), []).append(self._clock_ms)
 
     def _add_slot_time(self, since_ms: float, kind: str) -> None:
         """The time of a call that ends now, shared out to the rows it lay in."""
@@ -200,9 +200,9 @@
             start -= ROW_MS
 
     def _released_connections(self, sender: int, body: dict[str, Any]) -> None:
-        place = Place(sender, body["endpoint"])
-        self._idle_since.pop(place, None)
-        self._released.add(place)
+        connection_key = ConnectionKey(sender, body["endpoint"])
+        self._idle_since.pop(connection_key, None)
+        self._released.add(connection_key)
 
     def _rejected(self, _: int, __: dict[str, Any]) -> None:
         self._given_up[self._row]["bounced"] += 1
@@ -228,7 +228,7 @@
             lines.append(f"{at}  slots {held:.1f}, called off {cancelled / ROW_MS:.1f}  {ends}")
         failed = [
             f"{number} shots, first {first}: {count}"
-            for (number, first), count in self._failed.most_common(MOST_FAILED_ROWS)
+            for (number, first), count in self._failed.most_common(MAX_FAILED_ROWS)
         ]
         return [*lines, f"aborted {self._failed.total()}: " + "; ".join(failed)]
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -35,7 +35,7 @@
 
 from ashpath.core.policy_settings import sender_settings
 from ashpath.server.limits import ServerLimits
-from benchmarks.kept import ROOT, keep
+from benchmarks.figure_storage import ROOT, store_figures
 from benchmarks.start import extract
 from benchmarks.upgrade_surroundings import (
     LIMITS,
@@ -50,9 +50,9 @@
 DEFAULT_UPGRADES = 20
 DEFAULT_CLIENTS = 16
 BETWEEN_UPGRADES_S = 4.0
-LAST_CALLS_S = 1.0
-LAST_ENDS_S = 16.0  # deadlines, and what the last process still owes
-START_PATIENCE_S = 20.0
+FINAL_LOAD_S = 1.0
+FINAL_OUTCOMES_TIMEOUT_S = 16.0  # deadlines, and what the last process still owes
+START_TIMEOUT_S = 20.0
 
 
 class Senders:
@@ -102,7 +102,7 @@
         return process
 
     def _wait_for_ping(self, control: tuple[str, int]) -> None:
-        until = time.monotonic() + START_PATIENCE_S
+        until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             try:
                 with socket.create_connection(control, timeout=1) as connection:
@@ -136,7 +136,7 @@
 
     def finish(self) -> set[str]:
         """Waits for what is still owed, and kills the process; the ids of lost messages."""
-        until = time.monotonic() + LAST_ENDS_S
+        until = time.monotonic() + FINAL_OUTCOMES_TIMEOUT_S
         lost = set(self._observations.accepted)
         while lost and time.monotonic() < until:
             gevent.sleep(0.2)
@@ -164,7 +164,7 @@
     random = Random(7)
     limits = ServerLimits.from_configuration(LIMITS, sender_settings(1, SETTINGS))
     observations = Observations()
-    with tempfile.TemporaryDirectory() as made:
+    with tempfile.TemporaryDirectory() as folder_name:
         destinations = [
             DestinationServer(number, limits, random, observations)
             for number in range(NUMBER_OF_DESTINATIONS)
@@ -174,20 +174,20 @@
         agent = Agent(endpoint_list, limits, observations)
         trees = [ROOT]
         if base is not None:
-            trees.insert(0, Path(made) / "base")
+            trees.insert(0, Path(folder_name) / "base")
             extract(base, trees[0])
-        senders = Senders(Path(made), trees, agent, endpoint_list)
+        senders = Senders(Path(folder_name), trees, agent, endpoint_list)
         greenlets = start_clients(clients, senders, limits, random, observations)
         upgrades = Upgrades(senders, observations)
         for number in range(count):
             gevent.sleep(BETWEEN_UPGRADES_S)
             upgrades.upgrade(signal.SIGKILL if number % 2 else signal.SIGTERM)
-        gevent.sleep(LAST_CALLS_S)
+        gevent.sleep(FINAL_LOAD_S)
         gevent.killall(greenlets)
         lost = upgrades.finish()
     command = " ".join(["python -m benchmarks.upgrade", *sys.argv[1:]])
     run = {"upgrades": count, "clients": clients}
-    keep(
+    store_figures(
         "upgrade" if base is None else "upgrade-from-base",
         command,
         run | figures_of(observations, upgrades, lost),
--- a/benchmarks/upgrade_surroundings.py
+++ b/benchmarks/upgrade_surroundings.py
@@ -66,12 +66,12 @@
         self.submitted = 0
         self.accepted: dict[str, str] = {}  # ids that were answered 202, to their traffic class
         self.first_run_at: dict[str, float] = {}  # by id
-        self.noticed: set[str] = set()
+        self.notified: set[str] = set()
         self.longest_gap_s = 0.0
         self.signal = signal.SIGTERM  # that ended, or will end, the latest process
         self._latest_answer_at = time.monotonic()
 
-    def answered(self, message_id: str, traffic_class: str, status: int) -> None:
+    def record_response(self, message_id: str, traffic_class: str, status: int) -> None:
         """A client has an answer."""
         now = time.monotonic()
         self.longest_gap_s = max(self.longest_gap_s, now - self._latest_answer_at)
@@ -80,7 +80,7 @@
         if status == 202:
             self.accepted[message_id] = traffic_class
 
-    def ran(self, message_id: str) -> None:
+    def record_execution(self, message_id: str) -> None:
         """A message had its effect at a destination."""
         now = time.monotonic()
         first = self.first_run_at.setdefault(message_id, now)
@@ -90,7 +90,7 @@
 
     def lost(self) -> set[str]:
         """Accepted messages that neither ran nor were reported."""
-        return self.accepted.keys() - self.first_run_at.keys() - self.noticed
+        return self.accepted.keys() - self.first_run_at.keys() - self.notified
 
 
 class DestinationServer:
@@ -123,11 +123,11 @@
         try:
             while True:
                 call = connection.read_request()
-                connection.write(self._answer(call.headers[b"x-trace-id"].decode()))
+                connection.write(self._response(call.headers[b"x-trace-id"].decode()))
         except (OSError, ConnectionClosedError, ProtocolError):
             connection.close()
 
-    def _answer(self, message_id: str) -> bytes:
+    def _response(self, message_id: str) -> bytes:
         now = time.monotonic()
         if self._retry_after_sent_at + RETRY_AFTER_SLACK_S < now < self._retry_after_until:
             self._observations.counts["waits broken"] += 1
@@ -138,7 +138,7 @@
         if now < self._retry_after_until:
             return encode_message(b"HTTP/1.1 503 Full", [], b"")
         gevent.sleep(self._random.uniform(0.01, 0.12))
-        self._observations.ran(message_id)
+        self._observations.record_execution(message_id)
         return encode_message(b"HTTP/1.1 200 OK", [], b"ok")
 
 
@@ -162,7 +162,7 @@
                 call = connection.read_request()
                 if call.method == b"POST":
                     lines = call.body.splitlines()
-                    self._observations.noticed.update(orjson.loads(line)["id"] for line in lines)
+                    self._observations.notified.update(orjson.loads(line)["id"] for line in lines)
                     connection.write(b"HTTP/1.1 204 X\r\n\r\n")
                 else:
                     gevent.sleep(1.0)
@@ -212,24 +212,24 @@
         try:
             connection = self._connect()
             self._write(connection, encode_message(b"POST /api HTTP/1.1", headers, b"x" * 200))
-            answer = connection.read_response()
+            response = connection.read_response()
             connection.finish_response()
         except (OSError, ConnectionClosedError, ProtocolError):
             self._observations.counts[f"at the door, {self._observations.signal.name}"] += 1
             self._connection = None
             return
-        self._observations.answered(message_id, traffic_class, answer.status)
-        if not answer.keep_alive:
+        self._observations.record_response(message_id, traffic_class, response.status)
+        if not response.keep_alive:
             connection.close()
             self._connection = None
 
     def _connect(self) -> HttpConnection:
         """The connection that is kept, if it was not closed meanwhile; else a new one."""
-        kept = self._connection
-        if kept is not None and not self._in_two_pieces and kept.is_idle():
-            return kept
-        if kept is not None:
-            kept.close()
+        idle_connection = self._connection
+        if idle_connection is not None and not self._in_two_pieces and idle_connection.is_idle():
+            return idle_connection
+        if idle_connection is not None:
+            idle_connection.close()
         self._connection = HttpConnection(socket.create_connection(self._address), self._limits)
         return self._connection
 
--- a/benchmarks/write_ahead_log.py
+++ b/benchmarks/write_ahead_log.py
@@ -26,14 +26,14 @@
     Record,
 )
 from ashpath.server.storage.stored_message import StoredMessage
-from benchmarks.kept import keep
+from benchmarks.figure_storage import store_figures
 
 RECORDS = 100_000
 CUTS = 200
-RECORDS_OF_A_MESSAGE = 4
-LONGEST_BODY = 90
+RECORDS_PER_MESSAGE = 4
+MAX_BODY_BYTES = 90
 DESTINATIONS = 50
-FAR_AHEAD = 10**18  # microseconds
+FUTURE_US = 10**18  # microseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,9 +47,9 @@
 def encoded_records(count: int, random: Random) -> list[bytes]:
     """The records of so many messages that were submitted, sent and finished."""
     encoded: list[bytes] = []
-    for number in range(count // RECORDS_OF_A_MESSAGE):
-        body = random.randbytes(number % LONGEST_BODY)
-        message = StoredMessage(number, f"t{number:x}", 0, number % DESTINATIONS, None, None, FAR_AHEAD, body)
+    for number in range(count // RECORDS_PER_MESSAGE):
+        body = random.randbytes(number % MAX_BODY_BYTES)
+        message = StoredMessage(number, f"t{number:x}", 0, number % DESTINATIONS, None, None, FUTURE_US, body)
         records: tuple[Record, ...] = (
             MessageSubmitted(message),
             AttemptStarted(number, 10**15, "e1"),
@@ -66,8 +66,8 @@
     began = time.perf_counter()
     found = read_log(log_path(folder))
     took = time.perf_counter() - began
-    whole = ends[bisect_right(ends, cut) - 1]
-    is_right = found.valid_bytes == whole and bool(found.fault) == (cut != whole)
+    valid_bytes = ends[bisect_right(ends, cut) - 1]
+    is_right = found.valid_bytes == valid_bytes and bool(found.fault) == (cut != valid_bytes)
     return CutReport(is_right, took)
 
 
@@ -79,8 +79,8 @@
     encoded = encoded_records(records, random)
     data = b"".join(encoded)
     ends = [0, *accumulate(len(record) for record in encoded)]
-    with tempfile.TemporaryDirectory() as made:
-        folder = Path(made)
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
         reports = [report_of_cut(folder, data, ends, random.randrange(len(data))) for _ in range(cuts)]
     figures = {
         "records": len(encoded),
@@ -90,7 +90,7 @@
         "median_ms": round(1000 * median(report.seconds for report in reports)),
         "most_ms": round(1000 * max(report.seconds for report in reports)),
     }
-    keep("ledger", f"python -m benchmarks.write_ahead_log {records} {cuts}", figures)
+    store_figures("ledger", f"python -m benchmarks.write_ahead_log {records} {cuts}", figures)
 
 
 if __name__ == "__main__":
--- a/tests/test_simulation_figures.py
+++ b/tests/test_simulation_figures.py
@@ -12,17 +12,17 @@
 
 
 @pytest.mark.parametrize("name", ["fast-errors seed 1", "burst seed 1"])
-def test_outcome_as_stored(name: str) -> None:
-    found = simulation_figures.as_stored(simulation_figures.play(name))
-    assert found == simulation_figures.stored()[name]
+def test_simulated_outcome_equals_stored_figures(name: str) -> None:
+    found = simulation_figures.after_json_round_trip(simulation_figures.run_scenario(name))
+    assert found == simulation_figures.read_stored_figures()[name]
 
 
-def test_every_scenario_is_stored() -> None:
-    assert list(simulation_figures.stored()) == simulation_figures.names()
+def test_stored_figures_cover_every_scenario() -> None:
+    assert list(simulation_figures.read_stored_figures()) == simulation_figures.outcome_names()
 
 
-def test_a_changed_figure_is_reported() -> None:
-    expected = simulation_figures.stored()["burst seed 1"]
+def test_changed_figure_is_reported_as_difference() -> None:
+    expected = simulation_figures.read_stored_figures()["burst seed 1"]
     found = {**expected, "shots": expected["shots"] + 1}
     line = f"shots: expected {expected['shots']}, found {found['shots']}"
     assert simulation_figures.differences(expected, found) == [line]
