--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,10 +1,11 @@
-"""What a fleet that restarts near the end of an outage sends to the destination as it recovers, over what
-it may be sent (`tests/support/fleet.py`).
+"""The calls of a fleet that restarts near the end of an outage, to the recovering destination and relative to
+the limit (`tests/support/fleet.py`).
 
     .venv/bin/python -m benchmarks.restarts [silence]
 
-In simulated time: a line for each setting that goes over, then how many did. With `silence` only outages in
-which the destination accepts calls and never responds, and every setting restarts.
+Runs in simulated time. Prints a line for each setting that exceeds the limit, then how many did. With
+`silence` all outages are of a destination that accepts calls and never responds, and the fleet always
+restarts.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from ashpath.core.statistics import SECOND
 
 CAPACITIES = (3.0, 6.0, 12.0)
-RESTARTS_S = (45.0, 48.0, 49.3, 49.7)  # the destination recovers at 50
+RESTARTS_S = (45.0, 48.0, 49.3, 49.7)  # the destination recovers at 50 s
 RESTARTS_IN_SILENCE_S = (46.0, 48.0, 49.0, 49.3, 49.7)
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One fleet at one outage, with the times of its restarts in seconds."""
+    """A fleet and an outage, with the times of the fleet's restarts in seconds."""
 
     customer: str
     senders: int
@@ -37,7 +38,7 @@
     restarts_s: tuple[float, ...]
 
     def load(self, seed: int) -> float:
-        """Calls in the worst window, over those that the destination may have."""
+        """Returns the calls in the worst window relative to the limit of that window."""
         fleet = Fleet(
             CUSTOMERS[self.customer],
             self.senders,
@@ -47,8 +48,8 @@
             restarts=tuple(round(at * SECOND) for at in self.restarts_s),
             seed=seed,
         )
-        calls, most = fleet.play().worst()
-        return calls / most
+        calls, limit = fleet.run().worst_window()
+        return calls / limit
 
     def __str__(self) -> str:
         kind = "silent" if self.silent else "refuses"
@@ -57,7 +58,7 @@
 
 
 def settings(*, silence: bool) -> Iterator[Setting]:
-    """All that are played."""
+    """Yields the settings to run."""
     if silence:
         senders: tuple[int, ...] = (20, 30)
         restarts: list[tuple[float, ...]] = [(at,) for at in RESTARTS_IN_SILENCE_S]
@@ -71,19 +72,19 @@
 
 
 def main() -> None:
-    """Plays all settings and prints those that go over."""
+    """Runs all settings and prints those that exceed the limit."""
     silence = "silence" in sys.argv[1:]
     seeds = range(1, 7) if silence else range(1, 5)
-    played: list[list[float]] = []
+    loads_by_setting: list[list[float]] = []
     for setting in settings(silence=silence):
         loads = [setting.load(seed) for seed in seeds]
-        played.append(loads)
+        loads_by_setting.append(loads)
         if max(loads) > 1:
             print(f"{setting}: {max(loads):.2f}")
-    over = [load for loads in played for load in loads if load > 1]
-    settings_over = sum(max(loads) > 1 for loads in played)
-    plays = sum(len(loads) for loads in played)
-    print(f"over it: {settings_over} of {len(played)} settings, {len(over)} of {plays} plays")
+    over = [load for loads in loads_by_setting for load in loads if load > 1]
+    settings_over = sum(max(loads) > 1 for loads in loads_by_setting)
+    plays = sum(len(loads) for loads in loads_by_setting)
+    print(f"over it: {settings_over} of {len(loads_by_setting)} settings, {len(over)} of {plays} plays")
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,10 +1,9 @@
-"""Short days of real senders under faults of all kinds at once, a day a seed, judged by the six rules.
+"""Short runs of real senders under concurrent faults of all kinds, one per seed, checked by the six rules.
 
     .venv/bin/python -m benchmarks.soak --seeds 1..50 [--side-by-side 4] [--keep FOLDER]
 
-A line a seed; one seed plays the same schedule again by its number. Where a seed breaks a rule its logs,
-states and records are kept. Endpoints, clients and agents are simulated, the senders are real. Exit code 1
-where a rule was broken.
+Prints a line per seed. The same seed gives the same schedule. If a run breaks a rule, its logs, states and
+records are kept, and the exit code is 1. Endpoints, clients and agents are simulated, the senders are real.
 """
 
 from __future__ import annotations
@@ -24,11 +23,11 @@
 from ashpath.emulator.soak.judge import BrokenRule, RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
 
-SHOWN = 4  # findings of one seed that are printed
+MAX_FINDINGS_SHOWN = 4  # findings printed for one seed
 
 
-def play_seed(seed: int, folder: Path) -> list[BrokenRule]:
-    """The rules that one day broke; its records are in the folder then."""
+def run_seed(seed: int, folder: Path) -> list[BrokenRule]:
+    """Runs one seed. Returns the broken rules; if there are any, the run's records are in the folder."""
     plan = draw_plan(seed)
     run_folder = folder / f"seed-{seed}"
     records = SoakRun(plan, run_folder).play()
@@ -42,19 +41,19 @@
     line = (
         f"seed {seed}: {len(records.submissions)} requests, {accepted} accepted, {len(records.calls)} calls"
     )
-    print(line, *map(str, broken[:SHOWN]), sep="\n  ", flush=True)
+    print(line, *map(str, broken[:MAX_FINDINGS_SHOWN]), sep="\n  ", flush=True)
     return broken
 
 
-def seeds_of(text: str) -> list[int]:
-    """`3` or `1..50`. Raises ValueError."""
+def parse_seeds(text: str) -> list[int]:
+    """Parses `3` or `1..50`. Raises ValueError for other text."""
     first, _, last = text.partition("..")
     return list(range(int(first), int(last or first) + 1))
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--seeds", type=seeds_of, default=seeds_of("1..50"))
+    parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1..50"))
     parser.add_argument("--side-by-side", type=int, default=4)
     parser.add_argument("--keep", type=Path, default=None)
     options = parser.parse_args()
@@ -62,7 +61,7 @@
     failed: list[int] = []
 
     def play(seed: int) -> None:
-        if play_seed(seed, folder):
+        if run_seed(seed, folder):
             failed.append(seed)
 
     pool = Pool(options.side_by_side)
@@ -70,7 +69,7 @@
         task = progress.add_task("days", total=len(options.seeds))
         for seed in options.seeds:
             pool.spawn(play, seed).link(lambda _: progress.advance(task))
-            gevent.sleep(0.5)  # starts take processor time: one after the other
+            gevent.sleep(0.5)  # staggers the starts, as they take processor time
         pool.join(raise_error=True)
     failing = f", broken: {sorted(failed)}, see {folder}" if failed else ""
     print(f"{len(options.seeds)} days, {len(failed)} broke a rule{failing}")
--- a/tests/support/crippled_policies.py
+++ b/tests/support/defective_policies.py
@@ -1,4 +1,4 @@
-"""Delivery policies that are crippled, each in one place, and one that stands still."""
+"""Delivery policies with one defect each, and one that never lets virtual time advance."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from ashpath.policy.gate import Gate
 
 
-class ForgetfulPolicy(DeliveryPolicy):
-    """Gives no answer for what it gives up."""
+class UnreportedFailurePolicy(DeliveryPolicy):
+    """Reports no final outcome for the messages that it gives up."""
 
     def finish_undelivered(self, message: Message) -> None:
         self.finish(message)
 
 
-class RepeatingPolicy(DeliveryPolicy):
-    """Takes a repeat for recognised for four times as long as it is."""
+class LongDeduplicationWindowPolicy(DeliveryPolicy):
+    """Assumes a deduplication window four times as long as the real one."""
 
     def __init__(self, settings: PolicySettings, actions: PolicyActions) -> None:
         traffic_classes = tuple(
@@ -36,8 +36,8 @@
         super().__init__(replace(settings, traffic_classes=traffic_classes), actions)
 
 
-class LingeringPolicy(DeliveryPolicy):
-    """Ignores that endpoints are removed."""
+class RemovalIgnoringPolicy(DeliveryPolicy):
+    """Ignores the removal of endpoints."""
 
     def update_endpoints(self, rows: list[EndpointRecord], complete: bool) -> None:
         super().update_endpoints([row for row in rows if row.status is EndpointStatus.ACTIVE], complete)
@@ -52,40 +52,47 @@
         return True
 
 
-class OpenGate(Gate):
-    """Heeds Retry-After alone."""
+class RetryAfterOnlyGate(Gate):
+    """Closes for a Retry-After only."""
 
     def opens_at(self, now: int) -> int | None:
         return self.retry_after_until if now < self.retry_after_until else None
 
 
-class PushyPolicy(DeliveryPolicy):
-    """Knows no slow start, no failures, no limit."""
+class UnlimitedPolicy(DeliveryPolicy):
+    """Has no slow start, no circuit breaker and no limit."""
 
     def new_destination(self, number: int) -> Destination:
-        found = super().new_destination(number)
-        found.gate.__class__ = OpenGate
-        return found
+        destination = super().new_destination(number)
+        destination.gate.__class__ = RetryAfterOnlyGate
+        return destination
 
 
-class DisorderlyPolicy(DeliveryPolicy):
-    """Takes ordered messages for any others."""
+class UnorderedPolicy(DeliveryPolicy):
+    """Treats ordered messages as unordered."""
 
-    def submit(self, message_id: int, number: int, traffic_class: int, key: int | None, left: int) -> None:
-        super().submit(message_id, number, traffic_class, None, left)
+    def submit(
+        self, message_id: int, number: int, traffic_class: int, key: int | None, time_left: int
+    ) -> None:
+        super().submit(message_id, number, traffic_class, None, time_left)
 
 
-class ImpatientPolicy(DeliveryPolicy):
+class RetryAfterIgnoringPolicy(DeliveryPolicy):
     """Ignores Retry-After and limit reports."""
 
     def attempt_finished(
-        self, id_: int, outcome: AttemptOutcome, wait: int, closed: bool, report: LoadReport | None
+        self,
+        message_id: int,
+        outcome: AttemptOutcome,
+        retry_after: int,
+        final: bool,
+        report: LoadReport | None,
     ) -> None:
-        super().attempt_finished(id_, outcome, 0, closed, None)
+        super().attempt_finished(message_id, outcome, 0, final, None)
 
 
-class RestlessPolicy(DeliveryPolicy):
-    """Asks for each timer again at once."""
+class TimerRepeatingPolicy(DeliveryPolicy):
+    """Schedules each timer again at once."""
 
     def timer_fired(self, token: str) -> None:
         self.actions.schedule_timer(self.now, token)
--- a/tests/support/loggers.py
+++ b/tests/support/loggers.py
@@ -1,4 +1,4 @@
-"""What stands in for a part's logger."""
+"""Test doubles of loggers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RecordingLogger:
-    """Keeps the events, of whatever level, in their order."""
+    """Records the events of all levels in their order."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -20,15 +20,15 @@
 
     @property
     def logger(self) -> Logger:
-        """For a part that wants the whole interface."""
+        """The same object, typed as the logger that the server's modules expect."""
         return cast(Logger, self)
 
 
-class _NoErrors:
+class _ErrorRaisingLogger:
     def error(self, event: str, **details: object) -> None:
         raise AssertionError((event, details))
 
 
-def no_errors() -> Logger:
-    """One that refuses errors: stored data that cannot be read is logged as one."""
-    return cast(Logger, _NoErrors())
+def error_raising_logger() -> Logger:
+    """Returns a logger that raises AssertionError for an error; unreadable stored data is logged as one."""
+    return cast(Logger, _ErrorRaisingLogger())
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -1,8 +1,9 @@
-"""Carries out the actions of one policy in virtual time, and checks every one of them by the six rules.
+"""Executes the actions of one policy in virtual time, and checks each of them against six rules.
 
-The rules: one answer each, in time; nothing may run twice that must not; nothing within a Retry-After; the
-messages of an ordering key one at a time; nothing to an endpoint after its drain grace; a rejection only
-where it is harmless to submit again. Times are microseconds.
+The rules: each message has exactly one final outcome, in time; a message that must not run twice does not; no
+attempt starts within a Retry-After; the messages of an ordering key are sent one at a time; no attempt goes
+to an endpoint after its drain grace; a message is rejected only if the client can safely submit it again.
+Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 )
 MAY_STILL_RUN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED)
 ANSWER_SLACK = 20_000
-"""An answer may be so late: timers fire between batches."""
+"""Allowed delay of a final outcome after the deadline, as timers fire between batches."""
 
 DEFAULT_SETTINGS = PolicySettings(
     seed=1,
@@ -69,27 +70,27 @@
 
 @dataclass
 class TrackedMessage:
-    """What the checker knows of one message."""
+    """The state of a message as the rules need it."""
 
     traffic_class: TrafficClassSettings
     destination: int
     ordering_key: int | None
     deadline_at: int
     endpoint_id: str | None = None
-    """Of the attempt in flight."""
+    """The endpoint of the attempt in flight; None if no attempt is."""
     attempts: int = 0
     started_at: int = 0
-    """Of the latest attempt."""
+    """Start of the latest attempt."""
     due_at: int = 0
-    """When that one times out."""
+    """Time at which the latest attempt times out."""
     first_run_at: int | None = None
-    """When the first attempt that may have run began."""
+    """Start of the first attempt that may have run; None if no attempt may have."""
     first_run_endpoint: str = ""
     finished: bool = False
 
 
 class PolicyHarness:
-    """The adapter of one policy; a broken rule is an AssertionError."""
+    """Runs one policy and receives its actions. Raises AssertionError if an action breaks a rule."""
 
     def __init__(self, make_policy: MakePolicy) -> None:
         self.make_policy = make_policy
@@ -101,19 +102,21 @@
         self.endpoints: dict[str, EndpointRecord] = {}
         self.draining_since: dict[str, int] = {}
         self.ids: dict[str, int] = {}
-        """Of messages, by name."""
+        """Message ids by the names of the messages."""
         self.messages: dict[int, TrackedMessage] = {}
         self.retry_after: dict[Hashable, int] = {}
-        """By route, until when."""
+        """End of the Retry-After by route."""
         self.settling: dict[int, tuple[int, int]] = {}
-        """By ordering key, until when, and by which message."""
+        """End of the settle time by ordering key, and the id of the message that caused it."""
         self.timers: list[tuple[int, int, str]] = []
         self.events: list[str] = []
-        """Seen and not expected yet, in words."""
+        """Texts of the events that no expectation has matched yet."""
         self.outages: dict[tuple[int, str], tuple[float, int | None]] = {}
-        """By destination and route: the rate before, and until when it warms up; a restart restores them."""
+        """By destination and route: the rate before the outage, and the end of the warm-up, None during the
+        outage. A restart restores the outages.
+        """
 
-    # What the policy does.
+    # Actions of the policy
 
     def start_attempt(self, message_id: int, endpoint_id: str, timeout: int) -> None:
         message = self.messages[message_id]
@@ -199,22 +202,25 @@
 
     def mode_changed(self, text: str, destination: int, endpoint_id: str, down: bool, rate: float) -> None:
         self.events.append(f"log {text}")
-        place = (destination, endpoint_id)
-        if down or self.outages.get(place, (0.0, 0))[1] is None:
-            self.outages[place] = (rate, None if down else self.now + self.settings.warm_up_time)
+        outage_key = (destination, endpoint_id)
+        if down or self.outages.get(outage_key, (0.0, 0))[1] is None:
+            self.outages[outage_key] = (
+                rate,
+                None if down else self.now + self.settings.warm_up_time,
+            )
 
-    # What happens to it.
+    # Events for the policy
 
     def start(self) -> None:
-        self.settings = self.with_rows(self.settings)
+        self.settings = self.with_classes_and_kinds(self.settings)
         self.policy = self.make_policy(self.settings, self)
-        self.run_batch(self.whole_list())
+        self.run_batch(self.complete_list())
 
-    def with_rows(self, settings: PolicySettings) -> PolicySettings:
+    def with_classes_and_kinds(self, settings: PolicySettings) -> PolicySettings:
         classes = tuple(self.traffic_classes)
         return replace(settings, traffic_classes=classes, destination_kinds=tuple(self.kinds))
 
-    def whole_list(self) -> PolicyEvent:
+    def complete_list(self) -> PolicyEvent:
         rows = list(self.endpoints.values())
         return lambda policy: policy.update_endpoints(rows, complete=True)
 
@@ -225,9 +231,13 @@
         self.policy.end_batch()
 
     def run_to(self, moment: int) -> None:
-        """Time passes: timers and time-outs fall due; no message may be left without an answer."""
+        """Advances the time, firing timers and time-outs. Checks that no message is overdue."""
         while True:
-            due = [(m.due_at, 0, id_, "") for id_, m in self.messages.items() if m.endpoint_id is not None]
+            due = [
+                (m.due_at, 0, message_id, "")
+                for message_id, m in self.messages.items()
+                if m.endpoint_id is not None
+            ]
             due += [(at, 1, order, token) for at, order, token in self.timers]
             at, is_timer, number, token = min(due, default=(moment + 1, 0, 0, ""))
             if at > moment:
@@ -239,9 +249,9 @@
             else:
                 self.finish_attempts([number], AttemptOutcome.TIMED_OUT)
         self.now = moment
-        for id_, message in self.messages.items():
+        for message_id, message in self.messages.items():
             in_time = message.finished or self.now <= message.deadline_at + ANSWER_SLACK
-            assert in_time, f"{self.name(id_)} got no answer in time"
+            assert in_time, f"{self.name(message_id)} got no answer in time"
 
     def finish_attempts(
         self,
@@ -250,63 +260,65 @@
         retry_after: int = 0,
         report: LoadReport | None = None,
     ) -> None:
-        """Outcomes of one batch."""
+        """Reports the same outcome for attempts, in one batch."""
         batch: list[PolicyEvent] = []
         routes = []
-        for id_ in ids:
-            message = self.messages[id_]
-            assert message.endpoint_id is not None, f"{self.name(id_)} has no attempt in flight"
+        for message_id in ids:
+            message = self.messages[message_id]
+            assert message.endpoint_id is not None, f"{self.name(message_id)} has no attempt in flight"
             routes.append(self.route(message.endpoint_id))
-            self.resolve(id_, message, outcome)
+            self.resolve(message_id, message, outcome)
             if outcome is AttemptOutcome.DELIVERED and not message.finished:
                 message.finished = True
-                self.events.append(f"delivered {self.name(id_)}")
-            batch.append(attempt_finished(id_, outcome, retry_after, message.finished, report))
+                self.events.append(f"delivered {self.name(message_id)}")
+            batch.append(attempt_finished(message_id, outcome, retry_after, message.finished, report))
         self.run_batch(*batch)
         for route in routes:
             self.retry_after[route] = max(self.retry_after.get(route, 0), self.now + retry_after)
 
-    def resolve(self, id_: int, message: TrackedMessage, outcome: AttemptOutcome | None) -> None:
-        """Its attempt is over; without an outcome it may have run, and may still run."""
+    def resolve(self, message_id: int, message: TrackedMessage, outcome: AttemptOutcome | None) -> None:
+        """Ends the attempt of a message. An attempt without an outcome may have run, and may still run."""
         assert message.endpoint_id is not None
         if outcome not in NEVER_RAN and message.first_run_at is None:
             message.first_run_at = message.started_at
             message.first_run_endpoint = message.endpoint_id
         if (outcome is None or outcome in MAY_STILL_RUN) and message.ordering_key is not None:
-            self.settling[message.ordering_key] = (self.now + self.settings.settle_time, id_)
+            self.settling[message.ordering_key] = (self.now + self.settings.settle_time, message_id)
         message.endpoint_id = None
 
     def restart(self) -> None:
-        """What was in flight may have run; Retry-Afters are forgotten; messages are still owed answers."""
+        """Replaces the policy as after a kill: attempts in flight may have run, each Retry-After is lost, and
+        unfinished messages and outages are restored.
+        """
         self.timers = []
         self.retry_after = {}
         restored: list[PolicyEvent] = []
-        for id_, message in self.messages.items():
+        for message_id, message in self.messages.items():
             unresolved = message.endpoint_id is not None
             if unresolved:
-                self.resolve(id_, message, None)
+                self.resolve(message_id, message, None)
             if not message.finished:
-                restored.append(self.restore(id_, message, unresolved=unresolved))
+                restored.append(self.restore(message_id, message, unresolved=unresolved))
         self.policy = self.make_policy(self.settings, self)
-        lasting = [
-            restore_outage(place, rate)
-            for place, (rate, until) in self.outages.items()
+        ongoing_outages = [
+            restore_outage(outage_key, rate)
+            for outage_key, (rate, until) in self.outages.items()
             if until is None or until > self.now
         ]
-        self.run_batch(self.whole_list(), *lasting, *restored)
+        self.run_batch(self.complete_list(), *ongoing_outages, *restored)
 
-    def restore(self, id_: int, message: TrackedMessage, *, unresolved: bool) -> PolicyEvent:
+    def restore(self, message_id: int, message: TrackedMessage, *, unresolved: bool) -> PolicyEvent:
         traffic_class = self.traffic_classes.index(message.traffic_class)
-        left = message.deadline_at - self.now
-        past = PreviousAttempts(
+        time_left = message.deadline_at - self.now
+        previous = PreviousAttempts(
             message.attempts, message.first_run_at, message.first_run_endpoint, unresolved
         )
         return lambda policy: policy.restore(
-            id_, message.destination, traffic_class, message.ordering_key, left, past
+            message_id, message.destination, traffic_class, message.ordering_key, time_left, previous
         )
 
     def name(self, message_id: int) -> str:
-        return next(name for name, id_ in self.ids.items() if id_ == message_id)
+        return next(name for name, named_id in self.ids.items() if named_id == message_id)
 
     def route(self, endpoint_id: str) -> Hashable:
         row = self.endpoints[endpoint_id]
@@ -318,10 +330,10 @@
 
 
 def attempt_finished(
-    id_: int, outcome: AttemptOutcome, retry_after: int, finished: bool, report: LoadReport | None
+    message_id: int, outcome: AttemptOutcome, retry_after: int, finished: bool, report: LoadReport | None
 ) -> PolicyEvent:
-    return lambda policy: policy.attempt_finished(id_, outcome, retry_after, finished, report)
+    return lambda policy: policy.attempt_finished(message_id, outcome, retry_after, finished, report)
 
 
-def restore_outage(place: tuple[int, str], rate: float) -> PolicyEvent:
-    return lambda policy: policy.restore_outage(*place, rate)
+def restore_outage(outage_key: tuple[int, str], rate: float) -> PolicyEvent:
+    return lambda policy: policy.restore_outage(*outage_key, rate)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -1,29 +1,29 @@
-"""Plays scenarios against a policy; `PolicyHarness` checks the six rules on every action.
+"""Runs scenarios against a policy; `PolicyHarness` checks the six rules on every action.
 
-A scenario is a text file. `#` starts a comment. The head says what the policy is handed:
+A scenario is a text file. `#` starts a comment. The head sets the policy's settings:
 
     settings max_in_flight=8 sender_count=2 warm_up_time=10s     any field of `PolicySettings`
     class orders at_most_once value=4 objective=2s deadline=20s [window=5s] [ordered] [one_zone]
     kind | kind per_endpoint | kind batch=10
     endpoints x1 x2 : 7 [kind=0] [zone=0] [rate=0]      x1 and x2 are destination 7's
 
-Then each line is a moment and what happens, or what is expected since the last `expect`:
+Each further line is a time with an event, or what is expected since the last `expect`:
 
     0s     submit a b orders 7 [key=3] [deadline=4s]    messages are submitted, in one batch
     +10ms  delivered a | overloaded a [retry_after=400ms] [quota=0.2 rate=5] | or any other outcome
-    +1s    restart                              killed, and back with what it had accepted
-    +1s    disconnect a | drain x1 | remove x1 | list x1 | pass (nothing happens but timers)
-    +1s    detach x1 | attach x1                an operator takes an endpoint out, and puts it back
+    +1s    restart                              killed, and restarted with its accepted messages
+    +1s    disconnect a | drain x1 | remove x1 | list x1 | pass (only timers fire)
+    +1s    detach x1 | attach x1                an operator detaches an endpoint, and attaches it again
     +1s    shared_retry_after x1 retry_after=2s   received by the other process of a hot upgrade
     +1s    reload [per_endpoint] has_load_reports=0     other settings, and the endpoint list again
-    +1s    poll_failed | receive WORDS          a poll of the endpoint list failed; gossip came
-    expect polled | published WORDS             the endpoint list was polled; gossip went out
+    +1s    poll_failed | receive WORDS          a poll of the endpoint list failed; gossip received
+    expect polled | published WORDS             the endpoint list was polled; gossip sent
     expect attempt a b | attempt a at x1 | rejected a | failed a | queued a | no_attempt | log some words
-    expect still_valid a | not_valid a          whether an attempt that has not left yet may still go
-    expect allowance 7 0.04                     most calls a second there if it were down
+    expect still_valid a | not_valid a          whether an attempt that is not sent yet may be sent
+    expect allowance 7 0.04                     most calls per second there if it were down
     expect connections_kept x1                  its idle connections were not closed
 
-Default: a kind of its own, endpoint x1 of destination 7, class `s`, idempotent, with a deadline of 30s.
+Default: one destination kind, endpoint x1 of destination 7, class `s`, idempotent, with a deadline of 30s.
 """
 
 from __future__ import annotations
@@ -54,36 +54,36 @@
 FLAGS = ("has_load_reports", "has_listed_rates", "gossip_enabled", "reports_full_connection_table")
 
 
-def span(text: str) -> int:
-    """Whole microseconds.
+def parse_duration(text: str) -> int:
+    """Returns a duration in whole microseconds.
 
-    >>> span("1.5s"), span("20ms")
+    >>> parse_duration("1.5s"), parse_duration("20ms")
     (1500000, 20000)
     """
     unit = "ms" if text.endswith("ms") else "s"
     return round(float(text.removesuffix(unit)) * {"ms": 1_000, "s": 1_000_000}[unit])
 
 
-def setting(text: str) -> int | float | tuple[float, ...]:
-    """The value of a setting: a time, a number, or numbers in order.
+def parse_setting(text: str) -> int | float | tuple[float, ...]:
+    """Returns the value of a setting: a duration, a number, or a tuple of numbers.
 
-    >>> setting("2s"), setting("40"), setting("0.04/0.01")
+    >>> parse_setting("2s"), parse_setting("40"), parse_setting("0.04/0.01")
     (2000000, 40, (0.04, 0.01))
     """
     if "/" in text:
         return tuple(float(part) for part in text.split("/"))
-    return span(text) if text.endswith("s") else int(text)
+    return parse_duration(text) if text.endswith("s") else int(text)
 
 
 class ScenarioError(AssertionError):
-    """A line of a scenario does not hold."""
+    """A line of a scenario failed."""
 
     def __init__(self, number: int, line: str, error: AssertionError) -> None:
         super().__init__(f"line {number}, {line.strip()!r}: {error}")
 
 
 class Scenario(PolicyHarness):
-    """One scenario, line by line."""
+    """Runs one scenario, line by line."""
 
     def __init__(self, make_policy: MakePolicy) -> None:
         super().__init__(make_policy)
@@ -102,7 +102,7 @@
             "pass": lambda _names, _named: None,
         }
 
-    def play(self, text: str) -> None:
+    def run(self, text: str) -> None:
         for number, line in enumerate(text.splitlines(), 1):
             words = line.split("#")[0].split()
             try:
@@ -114,30 +114,30 @@
 
     def step(self, words: list[str]) -> None:
         verb = words[0]
-        plain = [word for word in words[1:] if "=" not in word]
+        positional = [word for word in words[1:] if "=" not in word]
         named = dict(word.split("=") for word in words[1:] if "=" in word)
         if verb == "settings":
             self.change_settings(named)
         elif verb == "class":
-            self.add_class(plain[0], plain[1], plain[2:], named)
+            self.add_class(positional[0], positional[1], positional[2:], named)
         elif verb == "kind":
-            kind = DestinationKindSettings("per_endpoint" in plain, int(named.get("batch", 1)))
+            kind = DestinationKindSettings("per_endpoint" in positional, int(named.get("batch", 1)))
             self.kinds.append(kind)
         elif verb == "endpoints":
-            self.add_endpoints(plain[: plain.index(":")], int(plain[-1]), named)
+            self.add_endpoints(positional[: positional.index(":")], int(positional[-1]), named)
         elif verb == "expect":
             self.expect(" ".join(words[1:]))
         else:
             if not self.started:
                 self.start_with_defaults()
-            self.run_to(self.now + span(verb[1:]) if verb.startswith("+") else span(verb))
-            self.happen(plain[0], plain[1:], named)
+            self.run_to(self.now + parse_duration(verb[1:]) if verb.startswith("+") else parse_duration(verb))
+            self.apply_event(positional[0], positional[1:], named)
 
-    # The head.
+    # Head
 
     def change_settings(self, named: dict[str, str]) -> None:
         for name, text in named.items():
-            value = setting(text)
+            value = parse_setting(text)
             changes = {name: bool(value) if name in FLAGS else value}
             self.settings = replace(self.settings, **changes)
 
@@ -146,10 +146,10 @@
         self.traffic_classes.append(
             TrafficClassSettings(
                 value=float(named.get("value", 1)),
-                latency_objective=span(named.get("objective", "2s")),
-                deadline=span(named.get("deadline", "10s")),
+                latency_objective=parse_duration(named.get("objective", "2s")),
+                deadline=parse_duration(named.get("deadline", "10s")),
                 retry_safety=RETRY_SAFETY[safety],
-                deduplication_window=span(named.get("window", "0s")),
+                deduplication_window=parse_duration(named.get("window", "0s")),
                 deduplicates_across_zones="one_zone" not in flags,
                 late_value_share=0.3,
                 ordered="ordered" in flags,
@@ -173,9 +173,9 @@
         self.started = True
         self.start()
 
-    # What happens.
+    # Events
 
-    def happen(self, what: str, names: list[str], named: dict[str, str]) -> None:
+    def apply_event(self, what: str, names: list[str], named: dict[str, str]) -> None:
         if what in LISTINGS:
             self.change_listing(what, names)
         elif what in OUTCOMES:
@@ -186,7 +186,7 @@
 
     def report_outcome(self, outcome: AttemptOutcome, names: list[str], named: dict[str, str]) -> None:
         report = LoadReport(float(named["quota"]), float(named["rate"])) if "rate" in named else None
-        retry_after = span(named.get("retry_after", "0s"))
+        retry_after = parse_duration(named.get("retry_after", "0s"))
         self.finish_attempts([self.ids[name] for name in names], outcome, retry_after, report)
 
     def detach(self, names: list[str], _: dict[str, str]) -> None:
@@ -199,7 +199,7 @@
 
     def share_retry_afters(self, names: list[str], named: dict[str, str]) -> None:
         for name in names:
-            self.share_retry_after(name, self.now + span(named["retry_after"]))
+            self.share_retry_after(name, self.now + parse_duration(named["retry_after"]))
 
     def disconnect_clients(self, names: list[str], _: dict[str, str]) -> None:
         for name in names:
@@ -208,8 +208,8 @@
     def reload(self, names: list[str], named: dict[str, str]) -> None:
         self.kinds = [DestinationKindSettings("per_endpoint" in names, max_batch_size=1)]
         self.change_settings(named)
-        self.settings = self.with_rows(self.settings)
-        self.run_batch(lambda policy: policy.apply_settings(self.settings), self.whole_list())
+        self.settings = self.with_classes_and_kinds(self.settings)
+        self.run_batch(lambda policy: policy.apply_settings(self.settings), self.complete_list())
 
     def poll_failed(self, _names: list[str], _named: dict[str, str]) -> None:
         self.run_batch(lambda policy: policy.endpoint_poll_failed())
@@ -221,15 +221,20 @@
     def submit(self, names: list[str], class_name: str, destination: int, named: dict[str, str]) -> None:
         index = self.class_names.index(class_name)
         traffic_class = self.traffic_classes[index]
-        left = span(named["deadline"]) if "deadline" in named else traffic_class.deadline
+        time_left = parse_duration(named["deadline"]) if "deadline" in named else traffic_class.deadline
         key = int(named["key"]) if "key" in named else None
         ids = []
         for name in names:
-            id_ = self.ids[name] = len(self.ids)
-            ids.append(id_)
-            self.messages[id_] = TrackedMessage(traffic_class, destination, key, self.now + left)
+            message_id = self.ids[name] = len(self.ids)
+            ids.append(message_id)
+            self.messages[message_id] = TrackedMessage(traffic_class, destination, key, self.now + time_left)
         self.run_batch(
-            *(lambda policy, id_=id_: policy.submit(id_, destination, index, key, left) for id_ in ids)
+            *(
+                lambda policy, message_id=message_id: policy.submit(
+                    message_id, destination, index, key, time_left
+                )
+                for message_id in ids
+            )
         )
 
     def change_listing(self, what: str, names: list[str]) -> None:
@@ -242,7 +247,7 @@
         self.run_batch(lambda policy: policy.update_endpoints(rows, complete=False))
 
     def set_detached(self, name: str, *, detached: bool) -> None:
-        """Detached it is draining, whatever is listed: the same grace, then nothing."""
+        """A detached endpoint is draining whatever its listed status is, with the same grace period."""
         if detached:
             self.draining_since.setdefault(name, self.now)
             self.run_batch(lambda policy: policy.set_detached(name, detached=True))
@@ -260,7 +265,7 @@
         self.messages[message_id].finished = True
         self.run_batch(lambda policy: policy.client_disconnected(message_id))
 
-    # What is expected.
+    # Expectations
 
     def expect(self, text: str) -> None:
         verb, *names = text.split()
@@ -292,10 +297,10 @@
             return
         self.events.clear()
 
-    def expect_allowance(self, destination: int, most: float) -> None:
+    def expect_allowance(self, destination: int, max_rate: float) -> None:
         gate = self.gate(destination)
-        gate.outage.down = True  # as if it were now
-        assert 0 < gate.allowance(self.now) <= most
+        gate.outage.down = True  # the allowance during an outage
+        assert 0 < gate.allowance(self.now) <= max_rate
 
     def gate(self, destination: int) -> Gate:
         gate = self.policy.destinations[destination].gate
@@ -303,7 +308,7 @@
         return gate
 
     def expect_events(self, text: str, verb: str, names: list[str]) -> None:
-        """One event of each name, or the whole text where it says at which endpoint."""
+        """Expects one event for each name, or the full text if it names an endpoint."""
         for wanted in [text] if "at" in names else [f"{verb} {name}" for name in names] or [verb]:
             found = next((e for e in self.events if e == wanted or e.startswith(wanted + " ")), None)
             assert found, f"no {wanted}, seen: {self.events}"
