--- a/tests/server/test_adoption.py
+++ b/tests/server/test_adoption.py
@@ -28,20 +28,20 @@
         self.calls.append(messages)
 
 
-def test_messages_are_adopted_once_their_process_is_gone(tmp_path: Path) -> None:
+def test_messages_are_adopted_after_their_process_ends(tmp_path: Path) -> None:
     """In the order in which they were accepted; not while the process lives."""
-    theirs = WriteAheadLog(tmp_path, MAX_BYTES)
-    ours = WriteAheadLog(tmp_path, MAX_BYTES)
+    other_log = WriteAheadLog(tmp_path, MAX_BYTES)
+    own_log = WriteAheadLog(tmp_path, MAX_BYTES)
     for number in (1, 2):
         message = StoredMessage(number, f"t{number}", 0, 1, None, None, stored_time() + HOUR_US, b"body")
-        assert theirs.record_submitted(message)
-    assert ours.adopt() == []  # their process still lives
+        assert other_log.record_submitted(message)
+    assert own_log.adopt() == []  # their process still lives
     adopter = RecordingAdopter()
-    greenlet = gevent.spawn(OrphanAdopter(ours, adopter, INTERVAL_S, structlog.get_logger()).run)
+    greenlet = gevent.spawn(OrphanAdopter(own_log, adopter, INTERVAL_S, structlog.get_logger()).run)
     try:
-        theirs.close()
+        other_log.close()
         until(lambda: adopter.calls)
     finally:
         greenlet.kill()
-        ours.close()
+        own_log.close()
     assert [[message.trace_id for message in messages] for messages in adopter.calls] == [["t1", "t2"]]
--- a/tests/server/test_agent_client.py
+++ b/tests/server/test_agent_client.py
@@ -19,9 +19,7 @@
     return address_of(world.servers[1])
 
 
-def test_an_agent_that_says_nothing_is_called_anew_on_another_connection(
-    world: World, address: Address
-) -> None:
+def test_timed_out_agent_call_is_followed_by_a_new_connection(world: World, address: Address) -> None:
     agent = AgentConnection(address, LIMITS)
     world.servers[1].set_handle(lambda *_: gevent.sleep(9))
     assert agent.call(POLL, b"", 0.05) is None
@@ -34,7 +32,7 @@
     agent.close()
 
 
-def test_a_connection_is_kept_behind_a_body_in_chunks(world: World, address: Address) -> None:
+def test_connection_is_kept_after_chunked_response(world: World, address: Address) -> None:
     agent = AgentConnection(address, LIMITS)
     world.servers[1].set_handle(lambda sock, _: sock.sendall(CHUNKED))
     response = agent.call(POLL, b"", 9)
--- a/tests/server/test_clock_steps.py
+++ b/tests/server/test_clock_steps.py
@@ -19,10 +19,10 @@
 
 HOUR_S = 3600.0
 LONG_MS, SHORT_MS = 20_000, 2_500
-NOTICE_DUE_S = 3.5  # from the restart: of the short message
+NOTIFICATION_DUE_S = 3.5  # from the restart: of the short message
 
 
-def play(folder: Path, step_s: float) -> str:
+def run_with_clock_step(folder: Path, step_s: float) -> str:
     """What was wrong with one sender that is killed with two messages, and restarted with a stepped clock."""
     folder.mkdir()
     world = World(folder)
@@ -34,7 +34,7 @@
         world.kill()
         world.faults = ProcessFaults(clock=(ClockStep(0.0, step_s),))
         world.start()
-        with suppress(Timeout), Timeout(NOTICE_DUE_S):
+        with suppress(Timeout), Timeout(NOTIFICATION_DUE_S):
             until(lambda: world.attempt_count("long") == 2 and world.notified("short"))
         given_up = bool(world.notified("long")) or world.attempt_count("long") < 2
         late = not world.notified("short")
@@ -43,10 +43,10 @@
         world.stop()
 
 
-def test_a_restart_with_a_stepped_clock_keeps_deadlines(tmp_path: Path) -> None:
+def test_restart_with_stepped_clock_keeps_deadlines(tmp_path: Path) -> None:
     """Steps by seconds and by an hour, each with a sender of its own, side by side."""
     results: dict[float, Callable[[], str]] = {
-        step_s: gevent.spawn(play, tmp_path / str(step_s), step_s).get
+        step_s: gevent.spawn(run_with_clock_step, tmp_path / str(step_s), step_s).get
         for step_s in (-HOUR_S, -30.0, 0.0, 30.0, HOUR_S)
     }
     assert {step_s: fault for step_s, get in results.items() if (fault := get())} == {}
--- a/tests/server/test_configuration.py
+++ b/tests/server/test_configuration.py
@@ -10,13 +10,13 @@
 from ashpath.server.errors import ListenAddressError
 
 
-def document(*traffic_classes: str, **more: object) -> dict[str, Any]:
+def document(*traffic_classes: str, **extra: object) -> dict[str, Any]:
     """A platform's file with these traffic classes."""
     classes = [{"name": name, "deadline": 9000.0, "repeat": "retryable"} for name in traffic_classes]
-    return {"seed": "8c1f", "settings": {"classes": classes}} | more
+    return {"seed": "8c1f", "settings": {"classes": classes}} | extra
 
 
-def test_what_is_missing_has_its_default() -> None:
+def test_missing_keys_have_their_defaults() -> None:
     configuration = SenderConfiguration.parse(document("a"))
     assert configuration.seed == 0x8C1F
     assert configuration.known_endpoints == {"members": [], "revision": 0}
@@ -27,7 +27,7 @@
     assert configuration.gossip_peers == frozenset()
 
 
-def test_the_file_names_discovery_before_the_environment() -> None:
+def test_discovery_address_of_file_precedes_environment() -> None:
     environment = "10.0.0.1:70"
     assert SenderConfiguration.parse(document("a"), environment).platform_address == ("10.0.0.1", 70)
     configuration = SenderConfiguration.parse(document("a", discovery="10.0.0.2:71"), environment)
@@ -35,7 +35,7 @@
     assert configuration.discovery == "10.0.0.2:71"
 
 
-def test_traffic_classes_keep_their_ids_in_another_order() -> None:
+def test_reordered_traffic_classes_keep_their_ids() -> None:
     """While messages are live: a class that is gone keeps its id and accepts nothing."""
     running = SenderConfiguration.parse(document("a", "b"))
     configuration = SenderConfiguration.parse(document("c", "b")).aligned_with(running)
@@ -43,15 +43,15 @@
     assert configuration.settings.traffic_class_ids == {"b": 1, "c": 2}
 
 
-def test_traffic_class_ids_begin_anew_without_live_messages() -> None:
-    known = SenderConfiguration.parse(document("a", "b")).settings.document["classes"]
+def test_traffic_class_ids_are_reassigned_without_live_messages() -> None:
+    stored_classes = SenderConfiguration.parse(document("a", "b")).settings.document["classes"]
     configuration = SenderConfiguration.parse(document("b")).with_traffic_class_ids(
-        known, has_live_messages=False
+        stored_classes, has_live_messages=False
     )
     assert configuration.settings.traffic_class_ids == {"b": 0}
 
 
-def test_an_aligned_configuration_remembers_the_settings_as_read() -> None:
+def test_aligned_configuration_keeps_the_settings_as_read() -> None:
     """They are what the next reload is compared with."""
     running = SenderConfiguration.parse(document("a", "b"))
     read = SenderConfiguration.parse(document("b"))
@@ -61,11 +61,11 @@
 
 
 @pytest.mark.parametrize("table", [{"listen": "nowhere"}, {"port": 9}, "far", {"listen": 7}])
-def test_an_address_that_is_none_is_named(table: object) -> None:
+def test_invalid_listen_address_is_named_in_the_error(table: object) -> None:
     with pytest.raises(ListenAddressError, match=r"metrics\.listen: found .*, expected an address"):
         parse_listen_address({"metrics": table}, "metrics")
 
 
 @pytest.mark.parametrize("table", [None, {}, ""])
-def test_an_empty_table_is_no_address(table: object) -> None:
+def test_empty_listen_table_means_no_address(table: object) -> None:
     assert parse_listen_address({"metrics": table}, "metrics") is None
--- a/tests/server/test_endpoint_membership.py
+++ b/tests/server/test_endpoint_membership.py
@@ -14,22 +14,26 @@
 from ashpath.server.endpoint_membership import EndpointMembership
 from ashpath.server.policy_runner import PolicyRunner
 
-GOOD = {"id": "e1", "cell": 7, "phase": "up", "host_port": "127.0.0.1:1"}
+READABLE = {"id": "e1", "cell": 7, "phase": "up", "host_port": "127.0.0.1:1"}
 UNREADABLE = {"id": "e2", "cell": 7, "phase": "up", "host_port": "nowhere"}
 
 
 @pytest.mark.parametrize("complete", [True, False])
-@pytest.mark.parametrize("members", [[GOOD], [GOOD, UNREADABLE]], ids=len)
-def test_a_listing_reaches_registry_and_policy(members: list[dict[str, object]], complete: bool) -> None:
+@pytest.mark.parametrize("members", [[READABLE], [READABLE, UNREADABLE]], ids=len)
+def test_endpoint_list_reaches_registry_before_policy(
+    members: list[dict[str, object]], complete: bool
+) -> None:
     """What cannot be read hides no other member, and is reported."""
     registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), structlog.get_logger())
     policy_runner = create_autospec(PolicyRunner, instance=True)
-    seen: list[tuple[list[str], bool, bool]] = []
+    policy_updates: list[tuple[list[str], bool, bool]] = []
 
     def update(records: list[EndpointRecord], *, complete: bool) -> None:
-        seen.append(([record.endpoint_id for record in records], complete, "e1" in registry.addresses))
+        policy_updates.append(
+            ([record.endpoint_id for record in records], complete, "e1" in registry.addresses)
+        )
 
     policy_runner.update_endpoints.side_effect = update
     readable = EndpointMembership(registry, policy_runner).receive_members(members, complete=complete)
     assert readable is (len(members) == 1)
-    assert seen == [(["e1"], complete, True)]
+    assert policy_updates == [(["e1"], complete, True)]
--- a/tests/server/test_gossip.py
+++ b/tests/server/test_gossip.py
@@ -29,41 +29,41 @@
 @pytest.fixture
 def peers() -> Iterator[tuple[Peer, Peer]]:
     """Two that name each other."""
-    ours, theirs = Peer(), Peer()
-    ours.gossip.change_addresses(ours.address, frozenset({ours.address, theirs.address}))
-    theirs.gossip.change_addresses(theirs.address, frozenset({ours.address}))
-    yield ours, theirs
-    for peer in (ours, theirs):
+    receiver, publisher = Peer(), Peer()
+    receiver.gossip.change_addresses(receiver.address, frozenset({receiver.address, publisher.address}))
+    publisher.gossip.change_addresses(publisher.address, frozenset({receiver.address}))
+    yield receiver, publisher
+    for peer in (receiver, publisher):
         peer.gossip.change_addresses(None, frozenset())
 
 
-def test_a_message_reaches_who_names_its_sender(peers: tuple[Peer, Peer]) -> None:
-    ours, theirs = peers
-    theirs.gossip.publish(b"first")
-    until(lambda: ours.received == [b"first"])
+def test_message_reaches_peer_that_lists_its_sender(peers: tuple[Peer, Peer]) -> None:
+    receiver, publisher = peers
+    publisher.gossip.publish(b"first")
+    until(lambda: receiver.received == [b"first"])
 
 
-def test_garbage_and_strangers_are_dropped(peers: tuple[Peer, Peer]) -> None:
+def test_oversized_and_unlisted_messages_are_not_received(peers: tuple[Peer, Peer]) -> None:
     """Each is counted; the first, second and fourth are logged."""
-    ours, theirs = peers
-    theirs.gossip.publish(b"first")
-    until(lambda: ours.received == [b"first"])
-    theirs.gossip.publish(b"x" * (MAX_MESSAGE_BYTES + 44))  # too long: it is not even sent
-    assert theirs.gossip.sent == 1
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        assert [stranger.sendto(b"back 7 x1", ours.address) for _ in range(5)] == [9] * 5
-        until(lambda: ours.gossip.dropped == 5)
-    assert ours.received == [b"first"]
-    assert ours.logger.info.call_count == 3
-
-
-def test_gossip_goes_on_after_it_was_switched_off(peers: tuple[Peer, Peer]) -> None:
+    receiver, publisher = peers
+    publisher.gossip.publish(b"first")
+    until(lambda: receiver.received == [b"first"])
+    publisher.gossip.publish(b"x" * (MAX_MESSAGE_BYTES + 44))  # too long: it is not even sent
+    assert publisher.gossip.sent == 1
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unlisted_socket:
+        assert [unlisted_socket.sendto(b"back 7 x1", receiver.address) for _ in range(5)] == [9] * 5
+        until(lambda: receiver.gossip.dropped == 5)
+    assert receiver.received == [b"first"]
+    assert receiver.logger.info.call_count == 3
+
+
+def test_gossip_resumes_after_it_was_switched_off(peers: tuple[Peer, Peer]) -> None:
     """Also where an address that cannot be had was tried meanwhile: the one before serves on."""
-    ours, theirs = peers
-    ours.gossip.change_addresses(None, frozenset())
-    theirs.gossip.publish(b"lost")  # and no fault
-    ours.gossip.change_addresses(ours.address, frozenset({theirs.address}))
+    receiver, publisher = peers
+    receiver.gossip.change_addresses(None, frozenset())
+    publisher.gossip.publish(b"lost")  # and no fault
+    receiver.gossip.change_addresses(receiver.address, frozenset({publisher.address}))
     with pytest.raises(OSError, match="in use"):
-        ours.gossip.change_addresses(theirs.address, frozenset())
-    theirs.gossip.publish(b"still received")
-    until(lambda: ours.received == [b"still received"])
+        receiver.gossip.change_addresses(publisher.address, frozenset())
+    publisher.gossip.publish(b"still received")
+    until(lambda: receiver.received == [b"still received"])
--- a/tests/server/test_log_events.py
+++ b/tests/server/test_log_events.py
@@ -8,17 +8,17 @@
 from support.world import ROOT
 
 # Events that are chosen as they are logged.
-CHOSEN_EVENTS = {"admission.py": ["write-ahead log full", "write-ahead log has space"]}
+CONDITIONAL_EVENTS = {"admission.py": ["write-ahead log full", "write-ahead log has space"]}
 
 
-def test_the_page_of_log_lines_has_each_event_with_its_fields() -> None:
+def test_log_lines_page_lists_every_event_with_its_fields() -> None:
     """Every event of the code is on the page with its fields, and no other is."""
     page = (ROOT / "docs" / "log-lines.md").read_text()
-    table = {
+    documented_events = {
         name: set(re.findall(r"`(\w+)`", fields))
         for name, _, fields in re.findall(r"^\| `([^`]+)` \| (\w+) \| ([^|]*) \|", page, re.M)
     }
-    found: dict[str, set[str]] = {}
+    logged_events: dict[str, set[str]] = {}
     for path in [*(ROOT / "ashpath" / "server").rglob("*.py"), *(ROOT / "ashpath" / "cli").rglob("*.py")]:
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
@@ -29,11 +29,13 @@
             if not owner.endswith(("log", "logger")):
                 continue
             events = (
-                [node.args[0].value] if isinstance(node.args[0], ast.Constant) else CHOSEN_EVENTS[path.name]
+                [node.args[0].value]
+                if isinstance(node.args[0], ast.Constant)
+                else CONDITIONAL_EVENTS[path.name]
             )
             fields = {keyword.arg or "" for keyword in node.keywords}
             fields |= {"exception"} if node.func.attr == "exception" else set()
             for event in events:
                 assert isinstance(event, str)
-                found[event] = found.get(event, set()) | fields
-    assert found == table
+                logged_events[event] = logged_events.get(event, set()) | fields
+    assert logged_events == documented_events
--- a/tests/server/test_log_writer.py
+++ b/tests/server/test_log_writer.py
@@ -23,7 +23,7 @@
         os.close(descriptor)
 
 
-def read_some(reader: int) -> None:
+def read_available(reader: int) -> None:
     try:
         os.read(reader, 1 << 20)
     except BlockingIOError:
@@ -36,37 +36,37 @@
         writer.msg("y" * 999)
 
 
-def test_lines_wait_for_a_reader_up_to_a_bound(pipe: tuple[int, int]) -> None:
+def test_pending_lines_are_bounded_without_a_reader(pipe: tuple[int, int]) -> None:
     writer = LogWriter(pipe[1])
     fill(writer)
     assert writer.dropped
     assert writer.pending_bytes <= MAX_PENDING_BYTES
 
 
-def test_dropped_lines_are_counted_once_the_reader_reads(pipe: tuple[int, int]) -> None:
+def test_dropped_lines_are_counted_after_the_reader_resumes(pipe: tuple[int, int]) -> None:
     writer, logger = LogWriter(pipe[1]), Mock()
     fill(writer)
-    running = gevent.spawn(writer.run, logger)
+    greenlet = gevent.spawn(writer.run, logger)
     dropped = writer.dropped
     while not logger.warning.called:
-        read_some(pipe[0])
+        read_available(pipe[0])
     logger.warning.assert_called_once_with("log lines dropped", count=dropped)
     assert not writer.pending
-    running.kill()
+    greenlet.kill()
 
 
-def test_a_reader_that_is_gone_is_written_to_no_more() -> None:
-    reader, into = os.pipe()
-    writer = LogWriter(into)
+def test_writer_stops_after_the_reader_closed() -> None:
+    reader, writer_descriptor = os.pipe()
+    writer = LogWriter(writer_descriptor)
     os.close(reader)
     writer.msg("nobody")
     assert writer.output is None
     assert not writer.pending
-    os.close(into)
+    os.close(writer_descriptor)
 
 
 @pytest.mark.parametrize("closed", [True, False], ids=["closed", "none"])
-def test_without_a_descriptor_lines_go_nowhere(closed: bool) -> None:
+def test_lines_are_discarded_without_an_open_descriptor(closed: bool) -> None:
     descriptor = None
     if closed:
         reader, descriptor = os.pipe()
@@ -77,7 +77,7 @@
     assert not writer.pending
 
 
-def test_a_line_longer_than_a_piece_is_whole(pipe: tuple[int, int]) -> None:
+def test_line_longer_than_one_write_is_complete(pipe: tuple[int, int]) -> None:
     writer = LogWriter(pipe[1])
     writer.msg("z" * 9999)
     until(writer.flush)
--- a/tests/server/test_logs.py
+++ b/tests/server/test_logs.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("form", RENDERERS)
-def test_no_value_fails(form: str) -> None:
+def test_every_renderer_accepts_any_value(form: str) -> None:
     log_format = LogFormat("info", form)
     for value in VALUES:
         assert log_format(None, "info", {"event": "e", "level": "info", "what": value})
--- a/tests/server/test_message_restoration.py
+++ b/tests/server/test_message_restoration.py
@@ -14,7 +14,7 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import now, stored_time
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 @pytest.fixture
@@ -22,7 +22,9 @@
     return WriteAheadLog(tmp_path, LIMITS.disk_bytes)
 
 
-def stored(write_ahead_log: WriteAheadLog, message_id: int, time_left: int = SECOND) -> StoredMessage:
+def store_message(
+    write_ahead_log: WriteAheadLog, message_id: int, time_left: int = SECOND_US
+) -> StoredMessage:
     """A message as the previous incarnation accepted it."""
     deadline = stored_time() + time_left
     message = StoredMessage(message_id, f"t{message_id}", 0, 1, None, None, deadline, b"")
@@ -30,37 +32,37 @@
     return message
 
 
-def test_in_the_order_accepted(write_ahead_log: WriteAheadLog) -> None:
+def test_messages_are_restored_in_order_of_acceptance(write_ahead_log: WriteAheadLog) -> None:
     notifier = unreachable_notifier(write_ahead_log)
     messages: dict[int, StoredMessage] = {}
-    left = [stored(write_ahead_log, 1), stored(write_ahead_log, 2, time_left=-SECOND)]
-    restored = MessageRestorer(write_ahead_log, notifier).restore(left, messages)
-    assert [one.message for one in restored] == left
+    accepted = [store_message(write_ahead_log, 1), store_message(write_ahead_log, 2, time_left=-SECOND_US)]
+    restored = MessageRestorer(write_ahead_log, notifier).restore(accepted, messages)
+    assert [entry.message for entry in restored] == accepted
     assert list(messages) == [1, 2]
-    assert 0 < restored[0].time_left <= SECOND
-    assert restored[1].time_left <= -SECOND
+    assert 0 < restored[0].time_left <= SECOND_US
+    assert restored[1].time_left <= -SECOND_US
     assert restored[0].previous == PreviousAttempts(0, None, "", unresolved=False)
 
 
-def test_a_finished_message_is_only_notified_of(write_ahead_log: WriteAheadLog) -> None:
+def test_finished_message_only_resumes_its_notification(write_ahead_log: WriteAheadLog) -> None:
     notifier = unreachable_notifier(write_ahead_log)
     messages: dict[int, StoredMessage] = {}
-    message = stored(write_ahead_log, 1)
+    message = store_message(write_ahead_log, 1)
     write_ahead_log.record_finished(message, "{}")
     assert MessageRestorer(write_ahead_log, notifier).restore([message], messages) == []
     assert not messages
     assert list(notifier.pending) == [message]
 
 
-def test_an_attempt_that_was_in_flight_may_have_run(write_ahead_log: WriteAheadLog) -> None:
+def test_interrupted_attempt_counts_as_possibly_run(write_ahead_log: WriteAheadLog) -> None:
     """It is recorded so, and its time and endpoint bind the retries that follow."""
-    message = stored(write_ahead_log, 1)
-    write_ahead_log.record_attempt(message, stored_time() - 2 * SECOND, "e1")
+    message = store_message(write_ahead_log, 1)
+    write_ahead_log.record_attempt(message, stored_time() - 2 * SECOND_US, "e1")
     restorer = MessageRestorer(write_ahead_log, unreachable_notifier(write_ahead_log))
     previous = restorer.restore([message], {})[0].previous
     assert previous.unresolved
     assert previous.attempts == 1
     assert previous.first_run_endpoint == "e1"
     assert previous.first_run_at is not None
-    assert 2 * SECOND <= now() - previous.first_run_at < 3 * SECOND
+    assert 2 * SECOND_US <= now() - previous.first_run_at < 3 * SECOND_US
     assert message.in_flight_since is None
--- a/tests/server/test_optional_services.py
+++ b/tests/server/test_optional_services.py
@@ -19,11 +19,11 @@
     return f"127.0.0.1:{bound.getsockname()[1]}"
 
 
-def test_gossip_begins_once_its_address_is_free(world: World) -> None:
+def test_gossip_starts_once_its_address_is_free(world: World) -> None:
     """Another socket has it at the start; after a reload a destination's return is published."""
     peer = bound_socket()
-    taken = bound_socket()
-    gossip = {"listen": address_text(taken), "senders": [address_text(peer)]}
+    occupying_socket = bound_socket()
+    gossip = {"listen": address_text(occupying_socket), "senders": [address_text(peer)]}
     world.members[3]["host_port"] = "127.0.0.1:1"
     limits = {**SETTINGS["limits"], "max-open": 90, "may-tell": True}
     world.config |= {"peers": gossip, "settings": {**SETTINGS, "limits": limits}}
@@ -32,7 +32,7 @@
     assert world.submit("a", "free", "200", 3) == 202
     log = world.folder / "log"
     until(lambda: "ailing" in log.read_text() and "gossip not received" in log.read_text())
-    taken.close()
+    occupying_socket.close()
     world.members[3]["host_port"] = world.members[5]["host_port"]
     other_agent = f"127.0.0.1:{world.servers[2].server_port}"
     reload_configuration(world, "configuration read", discovery=other_agent)
--- a/tests/server/test_platform_deployment.py
+++ b/tests/server/test_platform_deployment.py
@@ -9,7 +9,7 @@
 from support.world import World
 
 
-def test_a_start_that_fails_is_one_line(world: World) -> None:
+def test_failed_start_prints_one_line(world: World) -> None:
     variables = [
         ("RELAY_STATE", ""),
         ("RELAY_CONFIG", ""),
@@ -38,23 +38,25 @@
         ("RELAY_CONTROL", "nowhere", "RELAY_CONTROL: 'nowhere' is no address with a port"),
     ],
 )
-def test_an_invalid_variable_is_one_line_and_exit_2(
+def test_invalid_variable_prints_one_line_and_exits_with_2(
     world: World, name: str, value: str, problem: str
 ) -> None:
     environment = {**world.environment(), name: value}
-    done = subprocess.run([sys.executable, "-m", "ashpath"], env=environment, capture_output=True, timeout=60)
-    assert done.returncode == 2
-    assert done.stderr.decode().splitlines() == [f"ashpath: {problem}"]
+    completed = subprocess.run(
+        [sys.executable, "-m", "ashpath"], env=environment, capture_output=True, timeout=60
+    )
+    assert completed.returncode == 2
+    assert completed.stderr.decode().splitlines() == [f"ashpath: {problem}"]
 
 
-def test_an_address_that_cannot_be_read_is_reported_as_ever(world: World) -> None:
+def test_invalid_address_keeps_its_error_line(world: World) -> None:
     """Operators know the line: its text names no type of this program."""
     config = world.folder / "config.json"
     line = f"ashpath: cannot start from {config}: ValueError 'x' is no address with a port"
     for name in ("RELAY_LISTEN", "RELAY_DISCOVERY"):
         environment = {**world.environment(), name: "x"}
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "ashpath"], env=environment, capture_output=True, timeout=60
         )
-        assert done.returncode == 2
-        assert done.stderr.decode().splitlines() == [line]
+        assert completed.returncode == 2
+        assert completed.stderr.decode().splitlines() == [line]
--- a/tests/server/test_policy_actions.py
+++ b/tests/server/test_policy_actions.py
@@ -20,13 +20,13 @@
 from ashpath.server.timers import Timers
 
 
-class Stages:
+class ActionsSetup:
     """Actions whose effects are recorded in `done`: it starts attempts and publishes gossip itself."""
 
     def __init__(self, folder: Path) -> None:
         logger = structlog.get_logger()
         write_ahead_log = WriteAheadLog(folder, LIMITS.disk_bytes)
-        self.done: list[object] = []
+        self.effects: list[object] = []
         self.messages = {n: StoredMessage(n, f"t{n}", 0, 1, None, None, 0, b"") for n in range(1, 5)}
         self.attempts: dict[int, Attempt] = {}
         self.notifier = unreachable_notifier(write_ahead_log)
@@ -46,50 +46,50 @@
         )
 
     def begin_attempt(self, message: StoredMessage, endpoint_id: str, timeout: int) -> None:
-        self.done.append((message.trace_id, endpoint_id, timeout))
+        self.effects.append((message.trace_id, endpoint_id, timeout))
 
     def publish(self, message: bytes) -> None:
-        self.done.append(message)
+        self.effects.append(message)
 
     def timers_fired(self, tokens: list[str]) -> None:
-        self.done.append(tokens)
+        self.effects.append(tokens)
 
 
 @pytest.fixture
-def stages(tmp_path: Path) -> Stages:
-    return Stages(tmp_path)
+def actions_setup(tmp_path: Path) -> ActionsSetup:
+    return ActionsSetup(tmp_path)
 
 
-def test_nothing_is_done_before_the_batch_is_over(stages: Stages) -> None:
+def test_actions_are_performed_in_order_after_the_batch(actions_setup: ActionsSetup) -> None:
     """Then all of it, in the order of the policy's actions, and once."""
-    stages.actions.publish(b"back 1 e1")
-    stages.actions.start_attempt(1, "e1", 500)
-    stages.actions.start_attempt(2, "e2", 700)
-    assert not stages.done
-    stages.actions.perform()
-    assert stages.done == [b"back 1 e1", ("t1", "e1", 500), ("t2", "e2", 700)]
-    stages.actions.perform()
-    assert len(stages.done) == 3
+    actions_setup.actions.publish(b"back 1 e1")
+    actions_setup.actions.start_attempt(1, "e1", 500)
+    actions_setup.actions.start_attempt(2, "e2", 700)
+    assert not actions_setup.effects
+    actions_setup.actions.perform()
+    assert actions_setup.effects == [b"back 1 e1", ("t1", "e1", 500), ("t2", "e2", 700)]
+    actions_setup.actions.perform()
+    assert len(actions_setup.effects) == 3
 
 
-def test_a_message_that_is_over_is_no_longer_owned(stages: Stages) -> None:
+def test_finished_message_is_released_within_the_batch(actions_setup: ActionsSetup) -> None:
     """At once, as the policy may report it no further; its notification follows after the batch."""
-    stages.actions.reject(1, 5_000)
-    stages.actions.fail(2)
-    assert list(stages.messages) == [3, 4]
-    assert not stages.notifier.has_pending
-    stages.actions.perform()
-    assert [message.trace_id for message in stages.notifier.pending] == ["t1", "t2"]
+    actions_setup.actions.reject(1, 5_000)
+    actions_setup.actions.fail(2)
+    assert list(actions_setup.messages) == [3, 4]
+    assert not actions_setup.notifier.has_pending
+    actions_setup.actions.perform()
+    assert [message.trace_id for message in actions_setup.notifier.pending] == ["t1", "t2"]
 
 
-def test_only_an_attempt_that_was_in_flight_is_cancelled(stages: Stages) -> None:
+def test_only_attempt_in_flight_at_the_request_is_cancelled(actions_setup: ActionsSetup) -> None:
     """What it refers to is looked up as the policy asks: an attempt of the same batch is not meant."""
-    early = Attempt(stages.messages[1], "e1", 0, 0)
-    stages.attempts[1] = early
-    stages.actions.cancel_attempt(1, 0)
-    stages.actions.cancel_attempt(2, 0)
-    late = Attempt(stages.messages[2], "e1", 0, 0)
-    stages.attempts[2] = late
-    stages.actions.perform()
+    early = Attempt(actions_setup.messages[1], "e1", 0, 0)
+    actions_setup.attempts[1] = early
+    actions_setup.actions.cancel_attempt(1, 0)
+    actions_setup.actions.cancel_attempt(2, 0)
+    late = Attempt(actions_setup.messages[2], "e1", 0, 0)
+    actions_setup.attempts[2] = late
+    actions_setup.actions.perform()
     assert early.failure is not None
     assert late.failure is None
--- a/tests/server/test_policy_batch.py
+++ b/tests/server/test_policy_batch.py
@@ -21,7 +21,7 @@
 LISTED = {"id": "e1", "cell": 7, "phase": "up", "host_port": "127.0.0.1:1"}
 
 
-class Stages:
+class BatchSetup:
     """A batch of this process, the other process's shared memory, and all calls in their order."""
 
     def __init__(self, directory: Path) -> None:
@@ -42,21 +42,21 @@
         self.batch = PolicyBatch(policy, actions, shared)
         self.records = registry.records
 
-    def names(self) -> list[str]:
+    def call_names(self) -> list[str]:
         """The calls so far."""
         return [call[0] for call in self.calls.mock_calls]
 
 
 @pytest.fixture
-def stages(tmp_path: Path) -> Stages:
-    return Stages(tmp_path)
+def batch_setup(tmp_path: Path) -> BatchSetup:
+    return BatchSetup(tmp_path)
 
 
-def test_actions_are_performed_once_the_batch_is_closed(stages: Stages) -> None:
-    with stages.batch as policy:
+def test_actions_are_performed_after_the_batch_ends(batch_setup: BatchSetup) -> None:
+    with batch_setup.batch as policy:
         policy.timer_fired("r")
-        assert "actions.perform" not in stages.names()
-    assert stages.names() == [
+        assert "actions.perform" not in batch_setup.call_names()
+    assert batch_setup.call_names() == [
         "policy.begin_batch",
         "policy.timer_fired",
         "policy.end_batch",
@@ -64,16 +64,16 @@
     ]
 
 
-def test_what_the_other_process_published_comes_behind_the_events(stages: Stages) -> None:
+def test_updates_of_other_process_follow_the_events(batch_setup: BatchSetup) -> None:
     """They may list the very endpoints; the close, which sends, comes after it. It comes once."""
-    until = stored_time() + 3_000_000
-    stages.other_process.publish_retry_after(7, "e1", until)
-    stages.detached_endpoints.change("e1", detached=True)
-    stages.other_process.publish_detached_change()
+    expires_at = stored_time() + 3_000_000
+    batch_setup.other_process.publish_retry_after(7, "e1", expires_at)
+    batch_setup.detached_endpoints.change("e1", detached=True)
+    batch_setup.other_process.publish_detached_change()
     for _ in range(2):
-        with stages.batch as policy:
+        with batch_setup.batch as policy:
             policy.timer_fired("r")
-    assert stages.names() == [
+    assert batch_setup.call_names() == [
         "policy.begin_batch",
         "policy.timer_fired",
         "policy.retry_after_received",
@@ -85,20 +85,20 @@
         "policy.end_batch",
         "actions.perform",
     ]
-    destination, endpoint_id, at = stages.calls.policy.retry_after_received.call_args.args
+    destination, endpoint_id, at = batch_setup.calls.policy.retry_after_received.call_args.args
     assert (destination, endpoint_id) == (7, "e1")
     assert 2_000_000 < at - now() <= 3_000_000
-    assert stages.calls.policy.set_detached.call_args.args == ("e1", True, stages.records["e1"])
+    assert batch_setup.calls.policy.set_detached.call_args.args == ("e1", True, batch_setup.records["e1"])
 
 
-def test_an_error_leaves_the_batch_open(stages: Stages) -> None:
+def test_error_prevents_the_end_of_the_batch(batch_setup: BatchSetup) -> None:
     """Nothing is sent on half of the events; the next batch takes what is published after it."""
-    stages.other_process.publish_retry_after(7, "e1", stored_time() + 3_000_000)
-    with pytest.raises(ZeroDivisionError), stages.batch:
+    batch_setup.other_process.publish_retry_after(7, "e1", stored_time() + 3_000_000)
+    with pytest.raises(ZeroDivisionError), batch_setup.batch:
         raise ZeroDivisionError
-    assert stages.names() == ["policy.begin_batch"]
-    stages.other_process.publish_retry_after(7, "e2", stored_time() + 3_000_000)
-    with stages.batch:
+    assert batch_setup.call_names() == ["policy.begin_batch"]
+    batch_setup.other_process.publish_retry_after(7, "e2", stored_time() + 3_000_000)
+    with batch_setup.batch:
         pass
-    assert stages.names()[-2:] == ["policy.end_batch", "actions.perform"]
-    assert "policy.retry_after_received" in stages.names()
+    assert batch_setup.call_names()[-2:] == ["policy.end_batch", "actions.perform"]
+    assert "policy.retry_after_received" in batch_setup.call_names()
--- a/tests/server/test_policy_runner.py
+++ b/tests/server/test_policy_runner.py
@@ -36,7 +36,7 @@
     return message, admission.admit(message)
 
 
-def test_the_same_message_again_with_its_attempt_in_flight(world: World, sender: Sender) -> None:
+def test_resubmission_during_an_attempt_starts_no_second_attempt(world: World, sender: Sender) -> None:
     """Its client left before the 202 was out, and submits it again: no second attempt beside the first, over
     a kill neither, as the write-ahead log knows of the attempt until it has its outcome."""
     runner = sender.delivery.policy_runner
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("retry_after", [None, 0, 1_500_000])
-def test_a_final_state_in_the_batch_of_the_submission(
+def test_final_state_in_the_submission_batch_is_returned_to_the_client(
     sender: Sender, monkeypatch: pytest.MonkeyPatch, retry_after: int | None
 ) -> None:
     """The client that waits reads it; nobody is notified, and nothing of the message is left. Today's policy
@@ -81,7 +81,9 @@
     assert not sender.delivery.notifier.has_pending
 
 
-def test_a_batch_that_an_error_leaves(sender: Sender, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_actions_of_failed_batch_are_performed_with_the_next(
+    sender: Sender, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Nothing is done for it, and the next one goes on; what the policy asked for by then is done with it."""
     runner = sender.delivery.policy_runner
     submit_to_policy = runner.policy.submit
@@ -104,17 +106,17 @@
     until(lambda: not runner.attempts)
 
 
-def test_the_next_of_an_ordering_key_waits_for_the_notification_of_the_one_before(
+def test_ordered_message_waits_for_notification_of_its_predecessor(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the order of a key: a message given up is over once the platform has its notification, and no
     sooner, also where a restart finds it pending."""
-    seen: list[tuple[str, bool]] = []
-    answer = world.respond
+    attempts_seen: list[tuple[str, bool]] = []
+    respond = world.respond
 
     def record(connection: HttpConnection, call: HttpRequest) -> bool:
-        seen.append((call.headers[b"x-trace-id"].decode(), bool(world.notified("one"))))
-        return answer(connection, call)
+        attempts_seen.append((call.headers[b"x-trace-id"].decode(), bool(world.notified("one"))))
+        return respond(connection, call)
 
     monkeypatch.setattr(world, "respond", record)
     world.notifications_to_reject = 10**6
@@ -130,28 +132,28 @@
     assert not world.attempt_count("two")
     world.notifications_to_reject = 0
     until(lambda: world.attempt_count("two") > 0)
-    assert ("two", True) in seen
-    assert ("two", False) not in seen
+    assert ("two", True) in attempts_seen
+    assert ("two", False) not in attempts_seen
 
 
-def test_a_disk_that_is_full_for_a_moment(
+def test_full_disk_delays_the_attempt_until_recorded(
     world: World, sender: Sender, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards what was accepted: no attempt is made unrecorded, and none is spent within the same batch."""
     write_ahead_log = sender.delivery.write_ahead_log
     record_attempt = write_ahead_log.record_attempt
-    refused: list[float] = []
+    failure_times: list[float] = []
 
-    def record_later(message: StoredMessage, at: int, endpoint_id: str) -> None:
-        if len(refused) < 3:
-            refused.append(monotonic())
+    def fail_then_record(message: StoredMessage, at: int, endpoint_id: str) -> None:
+        if len(failure_times) < 3:
+            failure_times.append(monotonic())
             raise OSError(errno.ENOSPC, "no space")
         record_attempt(message, at, endpoint_id)
 
-    monkeypatch.setattr(write_ahead_log, "record_attempt", record_later)
+    monkeypatch.setattr(write_ahead_log, "record_attempt", fail_then_record)
     gevent.get_hub().loop.update_now()  # the start took a while, and its timers count from before
     assert submit(sender, request("a", "once", "200", 1))[1].status is HTTPStatus.ACCEPTED
-    assert len(refused) == 1
+    assert len(failure_times) == 1
     until(lambda: world.attempt_count("a") == 1 and not write_ahead_log.messages.live)
-    assert len(refused) == 3
-    assert refused[2] - refused[0] > 1.5 * LIMITS.retry_s
+    assert len(failure_times) == 3
+    assert failure_times[2] - failure_times[0] > 1.5 * LIMITS.retry_s
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -15,28 +15,28 @@
 from support.world import World, until
 
 
-def said_again(log: Path, event: str, before: int) -> bool:
+def logged_again(log: Path, event: str, before: int) -> bool:
     """Whether the log has the event more often than before."""
     return log.read_text().count(event) > before
 
 
-def test_a_reload_moves_to_another_agent(world: World) -> None:
+def test_reload_switches_to_another_agent(world: World) -> None:
     """Under load: watch and notifications follow. What cannot be read changes nothing."""
     world.start()
     assert world.process is not None
     log = world.folder / "log"
-    incomplete: list[dict[str, object]] = [
+    incomplete_settings: list[dict[str, object]] = [
         {},
         {"classes": [{"name": "x"}]},
         {"classes": [{"name": "x", "deadline": 9, "repeat": "y"}]},
     ]
-    bad = [json.dumps(world.config | {"settings": settings}) for settings in incomplete]
-    for text in ("{", "", '{"discovery": "nowhere"}', *bad):
+    invalid_texts = [json.dumps(world.config | {"settings": settings}) for settings in incomplete_settings]
+    for text in ("{", "", '{"discovery": "nowhere"}', *invalid_texts):
         before = log.read_text().count("configuration not read")
         (world.folder / "config.json").write_text(text)
         world.process.send_signal(signal.SIGHUP)
-        until(partial(said_again, log, "configuration not read", before))
-    old = world.servers[1]
+        until(partial(logged_again, log, "configuration not read", before))
+    old_agent = world.servers[1]
     new_agent = address_of(world.servers[2])
     world.config["discovery"] = f"127.0.0.1:{new_agent[1]}"
     world.members[7]["host_port"] = "127.0.0.1:1"  # told by the new agent only, under a revision of the old
@@ -44,7 +44,7 @@
     world.process.send_signal(signal.SIGHUP)
     until(lambda: log.read_text().count("configuration read") == 1)
     assert "settings applied" not in log.read_text()
-    old.stop(timeout=0)
+    old_agent.stop(timeout=0)
     until(lambda: world.watches.get(new_agent[1], 0) > 1)  # so the first list has been read
     assert world.submit("h0", "once", "200", 7, 1500) == 202
     assert world.submit("h1", "free", "200", 1) == 202
@@ -57,7 +57,7 @@
     until(lambda: world.notified("h2"))
 
 
-def test_sighup_before_the_sender_runs(world: World) -> None:
+def test_sighup_during_startup_reloads_the_configuration(world: World) -> None:
     """Guards a start: SIGHUP would end a process that is put together, and the file may be new behind it."""
     path = world.folder / "config.json"
     text = path.read_text()
@@ -67,12 +67,12 @@
         world.process = subprocess.Popen(
             [sys.executable, "-m", "ashpath"], env=world.environment(), stdout=log, stderr=log
         )
-    file = os.open(path, os.O_WRONLY)  # opened once it reads: it is being put together
+    pipe = os.open(path, os.O_WRONLY)  # opened once it reads: it is being put together
     world.process.send_signal(signal.SIGHUP)
-    os.write(file, text.encode())
-    os.close(file)
+    os.write(pipe, text.encode())
+    os.close(pipe)
     until(lambda: "event=ready" in (world.folder / "log").read_text())  # or both texts may be read as one
-    again = gevent.get_hub().threadpool.spawn(lambda: path.write_text(text))
+    second_write = gevent.get_hub().threadpool.spawn(lambda: path.write_text(text))
     until(lambda: "configuration read" in (world.folder / "log").read_text())
-    again.get()
+    second_write.get()
     assert world.process.poll() is None
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -16,18 +16,18 @@
 from ashpath.server.timers import stored_time
 
 
-def attempted(world: World, trace: str) -> bool:
+def attempted_once(world: World, trace: str) -> bool:
     """Whether a message has had its first attempt."""
     return world.attempt_count(trace) == 1
 
 
-def test_over_a_kill(world: World) -> None:
+def test_kill_preserves_messages_in_every_state(world: World) -> None:
     """Each kind of traffic class with an attempt in flight, a message that was never sent, and two of one
     ordering key."""
     world.start()
-    for number, track in enumerate(("free", "tag", "once")):
-        world.submit(f"k{number}", track, "hang 200", number)
-        until(partial(attempted, world, f"k{number}"))
+    for number, traffic_class in enumerate(("free", "tag", "once")):
+        world.submit(f"k{number}", traffic_class, "hang 200", number)
+        until(partial(attempted_once, world, f"k{number}"))
     world.submit("late", "tag", "hang", 5, time_left_ms=100)
     world.members[6]["host_port"] = "127.0.0.1:1"
     world.submit("first", "tag", "hang slow", 7, ordering_key="a")
@@ -51,52 +51,57 @@
     assert [line["id"] for line in world.notifications] == ["late", "k2"]
 
 
-def test_kills_amid_many(world: World) -> None:
+def test_repeated_kills_neither_lose_nor_repeat_messages(world: World) -> None:
     """Killed twice with many in all stages: each has one final outcome, and none runs twice that must not."""
     world.start()
-    taken = {}
+    accepted = {}
     for number in range(36):
-        track = ("free", "tag", "once")[number % 3]
-        if world.submit(f"m{number}", track, "slow 200" if number % 4 else "200", number) == 202:
-            taken[f"m{number}"] = track
+        traffic_class = ("free", "tag", "once")[number % 3]
+        if world.submit(f"m{number}", traffic_class, "slow 200" if number % 4 else "200", number) == 202:
+            accepted[f"m{number}"] = traffic_class
         if number in (14, 29):
             world.kill()
             world.start()
-    assert len(taken) == 36
+    assert len(accepted) == 36
     until(lambda: not live(world))
-    for trace, track in taken.items():
-        ends = world.notified(trace)
-        assert ends == (["undeliverable"] if track == "once" and ends else []), (trace, ends)
-        assert world.attempt_count(trace) <= (1 if track == "once" else 3)
-        assert world.attempt_count(trace) or ends
-    assert any(world.notified(trace) for trace in taken)
-    assert any(world.attempt_count(trace) > 1 for trace in taken)
-
-
-def test_overdue_after_a_kill(world: World) -> None:
+    for trace, traffic_class in accepted.items():
+        statuses = world.notified(trace)
+        assert statuses == (["undeliverable"] if traffic_class == "once" and statuses else []), (
+            trace,
+            statuses,
+        )
+        assert world.attempt_count(trace) <= (1 if traffic_class == "once" else 3)
+        assert world.attempt_count(trace) or statuses
+    assert any(world.notified(trace) for trace in accepted)
+    assert any(world.attempt_count(trace) > 1 for trace in accepted)
+
+
+def test_overdue_messages_are_finished_after_a_kill(world: World) -> None:
     """A deduplication window, a deadline, and a notification that was not acknowledged."""
-    ledger = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
-    old = stored_time() - 20_000_000
-    past = [(1, 5_000_000, True), (0, -10, False), (1, -10, True), (0, 9, False)]
-    for number, (track, left, ran) in enumerate(past):
-        entry = StoredMessage(number + 1, f"o{number}", track, 1, None, None, stored_time() + left, b"200")
-        assert ledger.record_submitted(entry)
-        if ran:
-            ledger.record_attempt(entry, old, "e1")
-    ledger.record_finished(entry, '{"id":"o3","status":"deferred","again_ms":5}')
-    ledger.close()
+    write_ahead_log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
+    attempted_at = stored_time() - 20_000_000
+    cases = [(1, 5_000_000, True), (0, -10, False), (1, -10, True), (0, 9, False)]
+    for number, (traffic_class, time_left, was_attempted) in enumerate(cases):
+        entry = StoredMessage(
+            number + 1, f"o{number}", traffic_class, 1, None, None, stored_time() + time_left, b"200"
+        )
+        assert write_ahead_log.record_submitted(entry)
+        if was_attempted:
+            write_ahead_log.record_attempt(entry, attempted_at, "e1")
+    write_ahead_log.record_finished(entry, '{"id":"o3","status":"deferred","again_ms":5}')
+    write_ahead_log.close()
     world.notifications_to_reject = 2
     world.start()
     until(lambda: len(world.notifications) == 4)
-    ends = {line["id"]: line["status"] for line in world.notifications}
-    assert ends == {"o0": "undeliverable", "o1": "deferred", "o2": "undeliverable", "o3": "deferred"}
+    statuses = {line["id"]: line["status"] for line in world.notifications}
+    assert statuses == {"o0": "undeliverable", "o1": "deferred", "o2": "undeliverable", "o3": "deferred"}
     assert not world.attempts
 
 
-def test_a_destination_that_was_out_as_the_process_was_killed(world: World) -> None:
+def test_recovering_destination_gets_one_attempt_after_a_restart(world: World) -> None:
     """Guards a destination that comes back against senders that restarted within its outage."""
-    where = free_address()  # nobody listens there yet
-    world.members[3]["host_port"] = f"127.0.0.1:{where[1]}"
+    address = free_address()  # nobody listens there yet
+    world.members[3]["host_port"] = f"127.0.0.1:{address[1]}"
     rule = {"cold-from": 0.9, "ramp-time": 10000.0, "fall-multiple": 2.0, "fall": 3000.0}
     settings = world.config["settings"]
     world.config["settings"] = settings | {"contract": settings["contract"] | rule}
@@ -109,16 +114,16 @@
         assert world.submit(f"h{number}", "free", "200", 3) == 202
     until(lambda: "destination 3 ailing" in (world.folder / "log").read_text())
     world.kill()
-    back = StreamServer(where, world.serve_endpoint)
-    back.start()
+    recovered_endpoint = StreamServer(address, world.serve_endpoint)
+    recovered_endpoint.start()
     world.start()
     until(lambda: any(world.attempt_count(f"h{number}") for number in range(5)))
     gevent.sleep(0.2)
     assert sum(world.attempt_count(f"h{number}") for number in range(5)) == 1  # of five that were held
-    back.stop()
+    recovered_endpoint.stop()
 
 
-def test_a_start_waits_for_descriptors_that_are_out_for_a_moment(world: World) -> None:
+def test_startup_waits_for_free_descriptors(world: World) -> None:
     """Guards the start: the first socket is that of the first poll, then come the listening ones."""
     world.faults = ProcessFaults((CallFault(FaultyCall.SOCKET, "ENFILE", skip=1, count=5),))
     world.start()
--- a/tests/server/test_runtime.py
+++ b/tests/server/test_runtime.py
@@ -8,7 +8,7 @@
 from ashpath.server.runtime import supervise
 
 
-def test_a_service_that_fails_begins_again() -> None:
+def test_failed_service_is_started_again() -> None:
     failures: list[Exception | None] = [StartupError("x"), None]
 
     def service() -> None:
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -15,7 +15,7 @@
 from ashpath.server.storage.traffic_class_ids import TrafficClassIds
 
 # To switch to: other traffic classes, kinds and zones, zone costs, listed rates, gossip, no load reports.
-TRACK = {"deadline": 20000.0, "slo": 1000.0, "importance": 3.0, "window": 12000.0}
+CLASS_SETTINGS = {"deadline": 20000.0, "slo": 1000.0, "importance": 3.0, "window": 12000.0}
 LIMITS = {**SETTINGS["limits"], "max-open": 90, "may-tell": True}
 SWITCHED = {
     **SETTINGS,
@@ -23,8 +23,8 @@
     "group-size": 3,
     "rank": 1,
     "classes": [
-        {"name": "label", "repeat": "dedup", "group": "all", **TRACK},
-        {"name": "once", "repeat": "fragile", **TRACK},
+        {"name": "label", "repeat": "dedup", "group": "all", **CLASS_SETTINGS},
+        {"name": "once", "repeat": "fragile", **CLASS_SETTINGS},
     ],
     "kinds": ["carrier", "plain"],
     "zones": ["there", "here"],
@@ -38,7 +38,7 @@
 STATES = (("queued", "200", 6, 1), ("in flight", "slow", 8, 1), ("retry", "503 200", 20, 2))
 
 
-def list_elsewhere(world: World, endpoint: int) -> None:
+def relist_at_answering_address(world: World, endpoint: int) -> None:
     """Another agent lists an endpoint, of which nothing answered, at an address that answers."""
     world.members[endpoint]["host_port"] = world.members[5]["host_port"]
     reload_configuration(world, "configuration read", discovery=address_text(world, 2))
@@ -54,7 +54,7 @@
     return all(world.attempt_count(trace) for trace in traces)
 
 
-def test_settings_switch_both_ways_with_messages_in_every_state(world: World) -> None:
+def test_settings_switch_delivers_messages_in_every_state(world: World) -> None:
     """Queued, in flight, and waiting for a retry, twice each way: each is delivered as often as it may be."""
     world.members[6]["host_port"] = "127.0.0.1:1"
     world.configure()
@@ -64,8 +64,8 @@
         before, new = (
             (["free", "tag", "once"], "label") if settings is SWITCHED else (["label", "once"], "free")
         )
-        for number, (name, (state, body, to, count)) in enumerate(product(before, STATES)):
-            destination = to if state == "queued" else to + number
+        for number, (name, (state, body, base_destination, count)) in enumerate(product(before, STATES)):
+            destination = base_destination if state == "queued" else base_destination + number
             assert world.submit(f"{way}{state}{name}", name, body, destination) == 202
             attempts[f"{way}{state}{name}"] = count
         in_flight = [trace for trace in attempts if "in flight" in trace]
@@ -75,13 +75,13 @@
         assert world.submit("old", before[0], "200", 1) == 400
         attempts[f"{way}new"] = 1
     assert "max_in_flight=64 " in (world.folder / "log").read_text(), "as many as there are connections"
-    list_elsewhere(world, 6)
+    relist_at_answering_address(world, 6)
     until(lambda: all(world.attempt_count(name) for name in attempts) and not live(world))
     assert not world.notifications
     assert {name: world.attempt_count(name) for name in attempts} == attempts
 
 
-def test_traffic_class_ids_of_a_switch_outlive_a_kill(world: World) -> None:
+def test_traffic_class_ids_survive_a_kill_after_a_switch(world: World) -> None:
     """The next incarnation reads them as the killed one gave them; where unwritten, nothing is switched."""
     world.start()
     assert world.submit("f", "free", "hang 200", 1) == world.submit("o", "once", "hang", 2) == 202
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("place", "value", "problem"),
+    ("key_path", "value", "problem"),
     [
         ("metrics", {"listen": "nowhere"}, NO_ADDRESS.format({"listen": "nowhere"})),
         ("metrics", "far", NO_ADDRESS.format("'far'")),
@@ -128,12 +128,12 @@
         ("classes", [{"deadline": 9, "repeat": "x"}], "settings.classes[0].repeat: invalid enum value 'x'"),
     ],
 )
-def test_invalid_settings_are_one_line_at_reload_and_at_start(
-    world: World, place: str, value: object, problem: str
+def test_invalid_settings_print_one_line_at_reload_and_start(
+    world: World, key_path: str, value: object, problem: str
 ) -> None:
     """It names the key, and at the start the file; at a reload the previous settings serve on."""
     world.start()
-    table, _, key = place.partition(".")
+    table, _, key = key_path.partition(".")
     world.config["settings"] = dict(SETTINGS)
     changed = world.config if table == "metrics" else world.config["settings"]
     changed[table] = {**SETTINGS[table], key: value} if key else value
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.encoding import encode_message
 
 
-def test_sigterm(world: World) -> None:
+def test_sigterm_finishes_accepted_requests_and_exits(world: World) -> None:
     world.start()
     kept, idle = world.connect(), world.connect()
     assert kept is not None
@@ -30,10 +30,10 @@
     world.process.send_signal(signal.SIGTERM)
     until(lambda: world.response_status(encode_message(b"GET /health/ready HTTP/1.1", [], b"")) == 503)
     kept.write(request("t2", "free", "200", 2))  # in the time in which connections still come
-    answer = kept.read_response()
-    assert answer.status == 202
-    assert not answer.keep_alive
-    assert answer.headers[b"connection"] == b"close"
+    response = kept.read_response()
+    assert response.status == 202
+    assert not response.keep_alive
+    assert response.headers[b"connection"] == b"close"
     assert not idle.receive()  # closed as that time is over
     assert world.submit("t3", "free", "200", 3) == 503
     until(lambda: world.process is None or world.process.poll() is not None)
@@ -48,41 +48,41 @@
     assert not world.notifications
 
 
-def test_a_second_sigterm(world: World) -> None:
+def test_second_sigterm_does_not_extend_the_shutdown(world: World) -> None:
     """It puts nothing off: a client within a request has the response that the first one owes."""
     world.start()
     assert world.process is not None
-    hold = request("out", "once", "hang", 1)
-    assert world.response_status(hold) == 202
+    hanging_request = request("out", "once", "hang", 1)
+    assert world.response_status(hanging_request) == 202
     until(lambda: world.attempt_count("out"))
-    began = monotonic()
+    started_at = monotonic()
     world.process.send_signal(signal.SIGTERM)
     gevent.sleep(1.2)
     world.process.send_signal(signal.SIGTERM)
-    wire = world.connect()
-    assert wire is not None
-    wire.write(b"POST /api HTTP/1.1\r\n")
-    assert wire.read_response().status == 503
-    assert monotonic() - began < 3.45
+    connection = world.connect()
+    assert connection is not None
+    connection.write(b"POST /api HTTP/1.1\r\n")
+    assert connection.read_response().status == 503
+    assert monotonic() - started_at < 3.45
     until(lambda: world.process is None or world.process.poll() is not None)
     assert world.process.returncode == 0
-    assert monotonic() - began < 3.7
+    assert monotonic() - started_at < 3.7
 
 
-def test_an_endpoint_drains_within_the_shutdown(world: World) -> None:
+def test_queued_attempt_avoids_endpoint_drained_during_shutdown(world: World) -> None:
     """What is queued as SIGTERM comes still has its attempt, and not at an endpoint that drains meanwhile; a
     notification that the platform does not take is sent by the next incarnation."""
-    drained: list[object] = []
-    told = Event()
+    received_requests: list[object] = []
+    release = Event()
 
     def hang(sock: socket.socket, _: object) -> None:
-        drained.append(HttpConnection(sock, LIMITS).read_request())
-        told.wait()
+        received_requests.append(HttpConnection(sock, LIMITS).read_request())
+        release.wait()
         reset_connection(sock)
 
-    old = StreamServer(("127.0.0.1", 0), hang)
-    old.start()
-    world.members[1]["host_port"] = f"127.0.0.1:{old.server_port}"
+    draining_server = StreamServer(("127.0.0.1", 0), hang)
+    draining_server.start()
+    world.members[1]["host_port"] = f"127.0.0.1:{draining_server.server_port}"
     world.members[1]["id"] = "old"
     world.config["settings"] = {**SETTINGS, "contract": {"drain-grace": 0.0, "order-settle": 200.0}}
     world.configure()
@@ -90,21 +90,21 @@
     assert world.process is not None
     for trace in ("first", "second"):
         assert world.submit(trace, "tag", "200", 1, ordering_key="k") == 202
-    until(lambda: drained)  # the first hangs there; the second waits behind it
+    until(lambda: received_requests)  # the first hangs there; the second waits behind it
     world.notifications_to_reject = 10**6
     assert world.submit("given-up", "once", "hang", 2, time_left_ms=300) == 202
     world.process.send_signal(signal.SIGTERM)
     successor = {**world.members[1], "id": "e1", "host_port": world.members[2]["host_port"]}
-    rows = [*world.members, {**world.members[1], "phase": "draining"}, successor]
-    world.config["known"] = {"revision": 9, "complete": True, "members": rows}
+    listed_members = [*world.members, {**world.members[1], "phase": "draining"}, successor]
+    world.config["known"] = {"revision": 9, "complete": True, "members": listed_members}
     before = sum(world.watches.values())
     until(lambda: sum(world.watches.values()) > before + 1)  # so the drain is known
-    told.set()  # its call ends, and may be made again
+    release.set()  # its call ends, and may be made again
     until(lambda: world.process is None or world.process.poll() is not None)
-    assert len(drained) == 1
+    assert len(received_requests) == 1
     world.notifications_to_reject = 0
     world.configure()
     world.start()
     until(lambda: world.attempt_count("second") == 1 and world.notified("given-up"))
-    assert len(drained) == 1
-    old.stop(timeout=0)
+    assert len(received_requests) == 1
+    draining_server.stop(timeout=0)
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -10,7 +10,7 @@
 
 from ashpath.server.timers import Timers, now
 
-FAR = 3_600_000_000  # microseconds: not within a test
+HOUR_US = 3_600_000_000  # microseconds: not within a test
 
 
 class RecordingListener:
@@ -37,9 +37,7 @@
     greenlet.kill()
 
 
-def test_all_that_are_due_fire_together_in_the_order_of_their_times(
-    timers: Timers, listener: RecordingListener
-) -> None:
+def test_due_timers_fire_together_in_order_of_time(timers: Timers, listener: RecordingListener) -> None:
     due = now() - 10
     timers.add(due + 2, "second")
     timers.add(due, "first")
@@ -48,7 +46,7 @@
     assert listener.calls == [["first", "second", "third, as it was scheduled later"]]
 
 
-def test_a_timer_fires_once(timers: Timers, listener: RecordingListener) -> None:
+def test_timer_fires_only_once(timers: Timers, listener: RecordingListener) -> None:
     timers.add(now(), "once")
     until(lambda: listener.calls)
     timers.add(now(), "later")
@@ -56,10 +54,10 @@
     assert listener.calls == [["once"], ["later"]]
 
 
-def test_an_earlier_timer_is_not_held_up_by_one_that_is_waited_for(
+def test_earlier_timer_fires_while_a_later_one_is_awaited(
     timers: Timers, listener: RecordingListener
 ) -> None:
-    timers.add(now() + FAR, "far")
+    timers.add(now() + HOUR_US, "far")
     gevent.sleep(0)  # the loop waits for it now
     timers.add(now(), "near")
     until(lambda: listener.calls)
@@ -67,7 +65,7 @@
     assert [timer.token for timer in timers.heap] == ["far"]
 
 
-def test_the_time_to_the_next_one() -> None:
+def test_seconds_to_next_timer_are_computed() -> None:
     timers = Timers(RecordingListener())
     assert timers.seconds_to_next(5) is None
     timers.add(2_500_005, "a")
--- a/tests/server/test_upgrade_between_releases.py
+++ b/tests/server/test_upgrade_between_releases.py
@@ -18,10 +18,10 @@
 
 EARLIER = ROOT / "tests" / "fixtures" / "releases" / "ashpath-3949f73.zip"
 RELEASES = [(EARLIER, ROOT), (ROOT, EARLIER)]
-NAMES = ["to this tree", "back to the earlier release"]
+UPGRADE_IDS = ["to this tree", "back to the earlier release"]
 
 
-CLIENTS = 4  # each with one message at a time
+CLIENT_COUNT = 4  # each with one message at a time
 
 
 class Load:
@@ -30,7 +30,7 @@
     None of the messages may run twice: one that may is called again where its call was out as the process was
     killed, as it should be."""
 
-    def __init__(self, world: World, clients: int = CLIENTS) -> None:
+    def __init__(self, world: World, clients: int = CLIENT_COUNT) -> None:
         self.accepted: list[str] = []
         self._world = world
         self._running = True
@@ -54,19 +54,19 @@
         return self.accepted
 
 
-@pytest.mark.parametrize("by", [signal.SIGTERM, signal.SIGKILL], ids=["SIGTERM", "SIGKILL"])
-@pytest.mark.parametrize(("first", "second"), RELEASES, ids=NAMES)
-def test_no_message_is_lost_or_doubled(
-    pair: tuple[World, World], first: Path, second: Path, by: signal.Signals
+@pytest.mark.parametrize("end_signal", [signal.SIGTERM, signal.SIGKILL], ids=["SIGTERM", "SIGKILL"])
+@pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
+def test_upgrade_neither_loses_nor_duplicates_messages(
+    pair: tuple[World, World], first: Path, second: Path, end_signal: signal.Signals
 ) -> None:
     """Under load, with messages queued and in flight at the process that ends."""
-    old, new = restart(pair, first, second)
+    old, new = start_with_releases(pair, first, second)
     load = Load(old)
     until(lambda: len(load.accepted) > 20)
     assert old.submit("in-flight", "once", "hang", 1, time_left_ms=8000) == 202
     until(lambda: old.attempt_count("in-flight") == 1)
     new.start()
-    assert old.kill(by) == (0 if by is signal.SIGTERM else -signal.SIGKILL)
+    assert old.kill(end_signal) == (0 if end_signal is signal.SIGTERM else -signal.SIGKILL)
     before = len(load.accepted)
     until(lambda: len(load.accepted) > before + 20)
     accepted = load.stop()
@@ -74,18 +74,20 @@
     # the record says, and ends by its notice.
     until(lambda: all(new.attempt_count(trace) or new.notified(trace) for trace in accepted))
     assert [trace for trace in accepted if new.attempt_count(trace) > 1] == []
-    untried = [trace for trace in accepted if not new.attempt_count(trace)]
-    assert all(new.notified(trace) == ["undeliverable"] for trace in untried)
-    assert len(untried) <= (0 if by is signal.SIGTERM else CLIENTS)
+    unattempted = [trace for trace in accepted if not new.attempt_count(trace)]
+    assert all(new.notified(trace) == ["undeliverable"] for trace in unattempted)
+    assert len(unattempted) <= (0 if end_signal is signal.SIGTERM else CLIENT_COUNT)
     until(lambda: new.notified("in-flight"))
     assert new.notified("in-flight") == ["undeliverable"]
     assert new.attempt_count("in-flight") == 1
 
 
-@pytest.mark.parametrize(("first", "second"), RELEASES, ids=NAMES)
-def test_a_detached_endpoint_binds_both(pair: tuple[World, World], first: Path, second: Path) -> None:
+@pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
+def test_detached_endpoint_applies_to_both_processes(
+    pair: tuple[World, World], first: Path, second: Path
+) -> None:
     """Endpoints that an operator detaches at either."""
-    old, new = restart(pair, first, second)
+    old, new = start_with_releases(pair, first, second)
     new.start()
     assert new.operator_command(b"DETACH e5\n").startswith(b"OK")
     assert old.operator_command(b"DETACH e6\n").startswith(b"OK")
@@ -96,11 +98,11 @@
     assert new.attempt_count("detached-5") == new.attempt_count("detached-6") == 0
 
 
-@pytest.mark.parametrize(("first", "second"), RELEASES, ids=NAMES)
-def test_a_retry_after_binds_both(pair: tuple[World, World], first: Path, second: Path) -> None:
+@pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
+def test_retry_after_applies_to_both_processes(pair: tuple[World, World], first: Path, second: Path) -> None:
     """Received by a process that is killed then: its successor sends nothing to that destination until it is
     over. A process that ends in order would wait for it itself."""
-    old, new = restart(pair, first, second)
+    old, new = start_with_releases(pair, first, second)
     new.start()
     assert old.submit("rejected", "free", "wait 200", 7) == 202
     until(lambda: old.attempt_count("rejected") == 1)
@@ -112,7 +114,7 @@
     assert monotonic() - received > 1.8
 
 
-def restart(pair: tuple[World, World], first: Path, second: Path) -> tuple[World, World]:
+def start_with_releases(pair: tuple[World, World], first: Path, second: Path) -> tuple[World, World]:
     """The pair, its first process of one release and its second, not started yet, of the other."""
     old, new = pair
     terminate(old)
