--- a/tests/server/test_adoption.py
+++ b/tests/server/test_adoption.py
@@ -1,4 +1,4 @@
-"""Adoption of what a process that is gone left in its write-ahead log."""
+"""Adoption of the messages that an ended process left in its write-ahead log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RecordingAdopter:
-    """Remembers what it is to go on with, a list for each call."""
+    """Records the messages that each call passes, one list per call."""
 
     def __init__(self) -> None:
         self.calls: list[list[StoredMessage]] = []
@@ -29,13 +29,13 @@
 
 
 def test_messages_are_adopted_after_their_process_ends(tmp_path: Path) -> None:
-    """In the order in which they were accepted; not while the process lives."""
+    """Messages are adopted in the order in which they were accepted, and not while their process runs."""
     other_log = WriteAheadLog(tmp_path, MAX_BYTES)
     own_log = WriteAheadLog(tmp_path, MAX_BYTES)
     for number in (1, 2):
         message = StoredMessage(number, f"t{number}", 0, 1, None, None, stored_time() + HOUR_US, b"body")
         assert other_log.record_submitted(message)
-    assert own_log.adopt() == []  # their process still lives
+    assert own_log.adopt() == []  # the other process still runs
     adopter = RecordingAdopter()
     greenlet = gevent.spawn(OrphanAdopter(own_log, adopter, INTERVAL_S, structlog.get_logger()).run)
     try:
--- a/tests/server/test_agent_client.py
+++ b/tests/server/test_agent_client.py
@@ -1,4 +1,4 @@
-"""One kept connection to the platform's agent."""
+"""The persistent connection to the platform's agent."""
 
 from __future__ import annotations
 
--- a/tests/server/test_backoff.py
+++ b/tests/server/test_backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between tries."""
+"""Pauses between retries."""
 
 from __future__ import annotations
 
--- a/tests/server/test_clock_steps.py
+++ b/tests/server/test_clock_steps.py
@@ -1,8 +1,8 @@
-"""Deadlines and windows are spans of real time, also over a restart.
+"""Deadlines and windows measure elapsed time, also across a restart with a stepped wall clock.
 
-Seen: a sender that was killed under load, and started again with the wall clock an hour ahead, gave up
-messages that had most of their time left; with the clock an hour back, deadlines moved away by the hour.
-Cause: what outlives the process was stored as times of the wall clock, and compared with it at the restart.
+Guards against stored times that are compared with the wall clock at a restart: after a kill, a clock one hour
+ahead made the sender give up messages that had most of their time left, and a clock one hour back put their
+deadlines off by an hour.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 HOUR_S = 3600.0
 LONG_MS, SHORT_MS = 20_000, 2_500
-NOTIFICATION_DUE_S = 3.5  # from the restart: of the short message
+NOTIFICATION_DUE_S = 3.5  # after the restart, for the message with the short deadline
 
 
 def run_with_clock_step(folder: Path, step_s: float) -> str:
-    """What was wrong with one sender that is killed with two messages, and restarted with a stepped clock."""
+    """Kills a sender that has two messages, restarts it with a stepped clock, and returns the faults seen."""
     folder.mkdir()
     world = World(folder)
     try:
@@ -44,7 +44,7 @@
 
 
 def test_restart_with_stepped_clock_keeps_deadlines(tmp_path: Path) -> None:
-    """Steps by seconds and by an hour, each with a sender of its own, side by side."""
+    """Steps of seconds and of an hour run concurrently, each with a sender of its own."""
     results: dict[float, Callable[[], str]] = {
         step_s: gevent.spawn(run_with_clock_step, tmp_path / str(step_s), step_s).get
         for step_s in (-HOUR_S, -30.0, 0.0, 30.0, HOUR_S)
--- a/tests/server/test_configuration.py
+++ b/tests/server/test_configuration.py
@@ -1,4 +1,4 @@
-"""Parsing of a sender's configuration, and the numbers that it gives to names."""
+"""Parsing of a sender's configuration, and the ids that it assigns to traffic classes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def document(*traffic_classes: str, **extra: object) -> dict[str, Any]:
-    """A platform's file with these traffic classes."""
+    """Returns a platform's configuration document with these traffic classes."""
     classes = [{"name": name, "deadline": 9000.0, "repeat": "retryable"} for name in traffic_classes]
     return {"seed": "8c1f", "settings": {"classes": classes}} | extra
 
@@ -36,7 +36,7 @@
 
 
 def test_reordered_traffic_classes_keep_their_ids() -> None:
-    """While messages are live: a class that is gone keeps its id and accepts nothing."""
+    """With live messages, a removed class keeps its id and accepts no further message."""
     running = SenderConfiguration.parse(document("a", "b"))
     configuration = SenderConfiguration.parse(document("c", "b")).aligned_with(running)
     assert configuration.settings.traffic_class_names() == ["a", "b", "c"]
@@ -52,7 +52,7 @@
 
 
 def test_aligned_configuration_keeps_the_settings_as_read() -> None:
-    """They are what the next reload is compared with."""
+    """The next reload is compared with the settings as read."""
     running = SenderConfiguration.parse(document("a", "b"))
     read = SenderConfiguration.parse(document("b"))
     aligned = read.aligned_with(running)
--- a/tests/server/test_endpoint_membership.py
+++ b/tests/server/test_endpoint_membership.py
@@ -1,4 +1,4 @@
-"""Listings of service discovery: the registry first, then the policy."""
+"""Endpoint lists of service discovery: the registry applies them first, then the policy."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def test_endpoint_list_reaches_registry_before_policy(
     members: list[dict[str, object]], complete: bool
 ) -> None:
-    """What cannot be read hides no other member, and is reported."""
+    """An unreadable member does not keep the others from being applied, and is reported."""
     registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), structlog.get_logger())
     policy_runner = create_autospec(PolicyRunner, instance=True)
     policy_updates: list[tuple[list[str], bool, bool]] = []
--- a/tests/server/test_gossip.py
+++ b/tests/server/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between senders, on datagrams."""
+"""Gossip between senders over UDP datagrams."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Peer:
-    """A sender's gossip at an address of its own, and what it received."""
+    """The gossip of one sender at an address of its own, with the messages that it received."""
 
     def __init__(self) -> None:
         self.address: Address = free_address()
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def peers() -> Iterator[tuple[Peer, Peer]]:
-    """Two that name each other."""
+    """Two peers that list each other: the receiver and the publisher."""
     receiver, publisher = Peer(), Peer()
     receiver.gossip.change_addresses(receiver.address, frozenset({receiver.address, publisher.address}))
     publisher.gossip.change_addresses(publisher.address, frozenset({receiver.address}))
@@ -44,11 +44,11 @@
 
 
 def test_oversized_and_unlisted_messages_are_not_received(peers: tuple[Peer, Peer]) -> None:
-    """Each is counted; the first, second and fourth are logged."""
+    """Each message of an unlisted sender is counted; the first, second and fourth are logged."""
     receiver, publisher = peers
     publisher.gossip.publish(b"first")
     until(lambda: receiver.received == [b"first"])
-    publisher.gossip.publish(b"x" * (MAX_MESSAGE_BYTES + 44))  # too long: it is not even sent
+    publisher.gossip.publish(b"x" * (MAX_MESSAGE_BYTES + 44))  # too long to be sent
     assert publisher.gossip.sent == 1
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unlisted_socket:
         assert [unlisted_socket.sendto(b"back 7 x1", receiver.address) for _ in range(5)] == [9] * 5
@@ -58,10 +58,10 @@
 
 
 def test_gossip_resumes_after_it_was_switched_off(peers: tuple[Peer, Peer]) -> None:
-    """Also where an address that cannot be had was tried meanwhile: the one before serves on."""
+    """A failed change to an address in use leaves the previous address in service."""
     receiver, publisher = peers
     receiver.gossip.change_addresses(None, frozenset())
-    publisher.gossip.publish(b"lost")  # and no fault
+    publisher.gossip.publish(b"lost")  # the receiver has no socket; no error is raised
     receiver.gossip.change_addresses(receiver.address, frozenset({publisher.address}))
     with pytest.raises(OSError, match="in use"):
         receiver.gossip.change_addresses(publisher.address, frozenset())
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -17,26 +17,26 @@
     old, new = pair
     client = old.connect()  # a client with its connection open across the upgrade
     assert client is not None
-    assert old.submit("u1", "free", "hang", 3, time_left_ms=6000) == 202  # still out when the old one ends
-    new.start()  # no second bind: both take from one queue
+    assert old.submit("u1", "free", "hang", 3, time_left_ms=6000) == 202  # in flight as the old process ends
+    new.start()  # no second bind: both processes accept from one listening socket
     terminate(old)
     assert new.submit("u2", "free", "200", 4) == 202
     until(lambda: new.attempt_count("u2") == 1)
-    assert client.receive() is False or not len(client.buffer)  # the old one closed it: its client moves on
-    assert new.notified("u1") == ["deferred"]  # one end, told once, by whichever process had it
+    assert client.receive() is False or not len(client.buffer)  # closed by the old process
+    assert new.notified("u1") == ["deferred"]  # one notification, from either process
 
 
-def open_accepted_connection(old: World, silent: bytes = b"") -> HttpConnection:
-    """A connection that the old process has, its first request perhaps begun."""
+def open_accepted_connection(old: World, data: bytes = b"") -> HttpConnection:
+    """Opens a connection to the old process and writes `data`, which may be part of a request."""
     connection = old.connect()
     assert connection is not None
-    connection.write(silent)
+    connection.write(data)
     return connection
 
 
 def test_every_request_during_an_upgrade_gets_a_response(pair: tuple[World, World]) -> None:
-    """Guards requests on their way at SIGTERM: on kept connections, first requests not yet begun, and ones
-    that come in pieces. Each has its response, which ends its connection."""
+    """Guards against requests lost at SIGTERM: requests on kept connections, the first request of an
+    accepted connection, and a request sent in pieces. Each gets its response, which closes its connection."""
     old, new = pair
     kept = [open_accepted_connection(old, READY) for _ in range(4)]
     assert [connection.read_response().status for connection in kept] == [200] * 4
@@ -44,7 +44,7 @@
         connection.finish_response()
     slow = open_accepted_connection(old, request("d-slow", "free", "200", 3)[:40])
     silent = open_accepted_connection(old)
-    gevent.sleep(0.3)  # the old one has them all
+    gevent.sleep(0.3)  # by now the old process has accepted all connections
     new.start()
     assert old.process is not None
     old.process.send_signal(signal.SIGTERM)
@@ -57,14 +57,14 @@
     slow.write(request("d-slow", "free", "200", 3)[40:])
     responses.append(slow.read_response())
     assert [(response.status, response.keep_alive) for response in responses] == [(202, False)] * 5
-    assert kept[3].receive() is False  # idle all along: closed in time
+    assert kept[3].receive() is False  # a connection that stays idle is closed
     until(lambda: old.process is not None and old.process.poll() is not None)
     until(lambda: all(new.attempt_count(trace) == 1 for trace in ("d0", "d1", "d2", "d3", "d-slow")))
     assert not any(new.notified(trace) for trace in ("d0", "d1", "d2", "d3", "d-slow"))
 
 
 def test_endpoint_detached_in_one_process_is_detached_in_both(pair: tuple[World, World]) -> None:
-    """To operators both processes of a hot upgrade are one sender."""
+    """DETACH at either process of a hot upgrade applies to both: to operators they are one sender."""
     old, new = pair
     new.start()
     assert new.operator_command(b"DETACH e5\n").startswith(b"OK")
--- a/tests/server/test_imports.py
+++ b/tests/server/test_imports.py
@@ -1,4 +1,4 @@
-"""What the two ways of starting a sender import."""
+"""Modules that the two entry points of a sender import."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_modules_of_disabled_features_are_not_imported() -> None:
-    """Guards the platform's small machines: what a sender does not switch on it does not load."""
+    """Guards the memory of small machines: a sender does not load the modules of features it has disabled."""
     optional_modules = "'click', 'rich', 'tree_sitter', 'prometheus_client', 'gevent.pywsgi', 'gevent.pool'"
     forbidden = f"{{{optional_modules}, 'tomllib', 'ashpath.config', 'ashpath.server.storage.outcome_store'}}"
     standalone_modules = "{'tomllib', 'ashpath.config', 'ashpath.server.storage.outcome_store'}"
--- a/tests/server/test_log_events.py
+++ b/tests/server/test_log_events.py
@@ -1,4 +1,4 @@
-"""The events of the log, against their page."""
+"""Compares the log events of the code with their page."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from support.world import ROOT
 
-# Events that are chosen as they are logged.
+# Events whose text is chosen at run time, by file.
 CONDITIONAL_EVENTS = {"admission.py": ["write-ahead log full", "write-ahead log has space"]}
 
 
 def test_log_lines_page_lists_every_event_with_its_fields() -> None:
-    """Every event of the code is on the page with its fields, and no other is."""
+    """The page lists every event of the code with its fields, and no other event."""
     page = (ROOT / "docs" / "log-lines.md").read_text()
     documented_events = {
         name: set(re.findall(r"`(\w+)`", fields))
--- a/tests/server/test_log_writer.py
+++ b/tests/server/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines on their way out."""
+"""Writing of log lines to a descriptor that may block, close or be absent."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def pipe() -> Iterator[tuple[int, int]]:
-    """The reader's end, which does not block, and the writer's."""
+    """The non-blocking read end and the write end of a pipe."""
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     yield reader, writer
@@ -31,7 +31,7 @@
 
 
 def fill(writer: LogWriter) -> None:
-    """More lines than may wait."""
+    """Writes twice the bytes that may be pending."""
     for _ in range(2 * MAX_PENDING_BYTES // 1000):
         writer.msg("y" * 999)
 
--- a/tests/server/test_logs.py
+++ b/tests/server/test_logs.py
@@ -1,4 +1,4 @@
-"""The forms of log lines."""
+"""Formats and levels of log lines."""
 
 from __future__ import annotations
 
--- a/tests/server/test_message_restoration.py
+++ b/tests/server/test_message_restoration.py
@@ -1,4 +1,5 @@
-"""Messages that a previous incarnation left: which of them the policy has to finish, and what it learns."""
+"""Restoration of messages of a previous incarnation: which of them the policy has to finish, and the
+attempts reported with them."""
 
 from __future__ import annotations
 
@@ -25,7 +26,7 @@
 def store_message(
     write_ahead_log: WriteAheadLog, message_id: int, time_left: int = SECOND_US
 ) -> StoredMessage:
-    """A message as the previous incarnation accepted it."""
+    """Stores a message as the previous incarnation accepted it; `time_left` is in microseconds."""
     deadline = stored_time() + time_left
     message = StoredMessage(message_id, f"t{message_id}", 0, 1, None, None, deadline, b"")
     assert write_ahead_log.record_submitted(message)
@@ -55,7 +56,7 @@
 
 
 def test_interrupted_attempt_counts_as_possibly_run(write_ahead_log: WriteAheadLog) -> None:
-    """It is recorded so, and its time and endpoint bind the retries that follow."""
+    """The attempt is recorded as possibly run; its time and endpoint restrict the retries that follow."""
     message = store_message(write_ahead_log, 1)
     write_ahead_log.record_attempt(message, stored_time() - 2 * SECOND_US, "e1")
     restorer = MessageRestorer(write_ahead_log, unreachable_notifier(write_ahead_log))
--- a/tests/server/test_optional_services.py
+++ b/tests/server/test_optional_services.py
@@ -1,4 +1,4 @@
-"""Gossip and metrics as a configuration switches them on; metrics' own tests are in tests/server/metrics."""
+"""Gossip that a configuration enables; metrics are tested in tests/server/metrics."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 
 
 def bound_socket() -> socket.socket:
-    """A datagram socket with an address of its own."""
+    """Returns a UDP socket bound to a free address."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     bound.bind(("127.0.0.1", 0))
     return bound
 
 
 def address_text(bound: socket.socket) -> str:
-    """As a configuration has it."""
+    """Returns the socket's address in the form of a configuration."""
     return f"127.0.0.1:{bound.getsockname()[1]}"
 
 
 def test_gossip_starts_once_its_address_is_free(world: World) -> None:
-    """Another socket has it at the start; after a reload a destination's return is published."""
+    """Another socket occupies the address at the start; later a destination's recovery is published by
+    gossip."""
     peer = bound_socket()
     occupying_socket = bound_socket()
     gossip = {"listen": address_text(occupying_socket), "senders": [address_text(peer)]}
--- a/tests/server/test_platform_deployment.py
+++ b/tests/server/test_platform_deployment.py
@@ -1,4 +1,4 @@
-"""Starts under the platform's agent that its environment or its file does not allow."""
+"""Failing starts under the platform's agent: an invalid environment or configuration file."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def test_invalid_address_keeps_its_error_line(world: World) -> None:
-    """Operators know the line: its text names no type of this program."""
+    """Operators match this line; it names no exception type that this program defines."""
     config = world.folder / "config.json"
     line = f"ashpath: cannot start from {config}: ValueError 'x' is no address with a port"
     for name in ("RELAY_LISTEN", "RELAY_DISCOVERY"):
--- a/tests/server/test_policy_actions.py
+++ b/tests/server/test_policy_actions.py
@@ -1,4 +1,4 @@
-"""The policy's actions: queued within a batch, performed after it and in its order."""
+"""Actions of the policy: queued during a batch, performed after the batch in the order queued."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ActionsSetup:
-    """Actions whose effects are recorded in `done`: it starts attempts and publishes gossip itself."""
+    """Queued actions that start attempts, publish gossip and report timers here, recorded in `effects`."""
 
     def __init__(self, folder: Path) -> None:
         logger = structlog.get_logger()
@@ -61,7 +61,7 @@
 
 
 def test_actions_are_performed_in_order_after_the_batch(actions_setup: ActionsSetup) -> None:
-    """Then all of it, in the order of the policy's actions, and once."""
+    """No action is performed during the batch; after it, each is performed once, in the order queued."""
     actions_setup.actions.publish(b"back 1 e1")
     actions_setup.actions.start_attempt(1, "e1", 500)
     actions_setup.actions.start_attempt(2, "e2", 700)
@@ -73,7 +73,8 @@
 
 
 def test_finished_message_is_released_within_the_batch(actions_setup: ActionsSetup) -> None:
-    """At once, as the policy may report it no further; its notification follows after the batch."""
+    """A finished message leaves the live messages at once, as the policy reports it no further; its
+    notification is queued after the batch."""
     actions_setup.actions.reject(1, 5_000)
     actions_setup.actions.fail(2)
     assert list(actions_setup.messages) == [3, 4]
@@ -83,7 +84,8 @@
 
 
 def test_only_attempt_in_flight_at_the_request_is_cancelled(actions_setup: ActionsSetup) -> None:
-    """What it refers to is looked up as the policy asks: an attempt of the same batch is not meant."""
+    """The attempt is looked up when the policy requests the cancellation, so that an attempt that starts
+    later in the same batch is not cancelled."""
     early = Attempt(actions_setup.messages[1], "e1", 0, 0)
     actions_setup.attempts[1] = early
     actions_setup.actions.cancel_attempt(1, 0)
--- a/tests/server/test_policy_batch.py
+++ b/tests/server/test_policy_batch.py
@@ -1,4 +1,5 @@
-"""A batch: its time, its events, what another process published, its close, and then the actions."""
+"""Order of calls in a batch: its start, its events, updates of the other process, its end, and the
+actions."""
 
 from __future__ import annotations
 
@@ -22,7 +23,7 @@
 
 
 class BatchSetup:
-    """A batch of this process, the other process's shared memory, and all calls in their order."""
+    """A batch of this process, the shared memory of the other process, and all calls in order."""
 
     def __init__(self, directory: Path) -> None:
         logger = structlog.get_logger()
@@ -37,13 +38,13 @@
         self.calls.attach_mock(actions, "actions")
         shared_memory = SharedMemory(directory)
         self.other_process = SharedMemory(directory)
-        shared_memory.updates(stored_time())  # nothing is news from here on
+        shared_memory.updates(stored_time())  # all earlier updates count as read
         shared = SharedUpdateReader(shared_memory, self.detached_endpoints, registry)
         self.batch = PolicyBatch(policy, actions, shared)
         self.records = registry.records
 
     def call_names(self) -> list[str]:
-        """The calls so far."""
+        """Returns the names of the calls so far."""
         return [call[0] for call in self.calls.mock_calls]
 
 
@@ -65,7 +66,8 @@
 
 
 def test_updates_of_other_process_follow_the_events(batch_setup: BatchSetup) -> None:
-    """They may list the very endpoints; the close, which sends, comes after it. It comes once."""
+    """The updates of the other process follow the events, which may list the endpoints that the updates
+    name, and precede the end of the batch, which starts attempts. Each update is reported once."""
     expires_at = stored_time() + 3_000_000
     batch_setup.other_process.publish_retry_after(7, "e1", expires_at)
     batch_setup.detached_endpoints.change("e1", detached=True)
@@ -92,7 +94,7 @@
 
 
 def test_error_prevents_the_end_of_the_batch(batch_setup: BatchSetup) -> None:
-    """Nothing is sent on half of the events; the next batch takes what is published after it."""
+    """No attempt starts on incomplete events; the next batch applies what is published after the error."""
     batch_setup.other_process.publish_retry_after(7, "e1", stored_time() + 3_000_000)
     with pytest.raises(ZeroDivisionError), batch_setup.batch:
         raise ZeroDivisionError
--- a/tests/server/test_policy_runner.py
+++ b/tests/server/test_policy_runner.py
@@ -1,4 +1,4 @@
-"""Batches of the policy: recording of attempts, order of a key, duplicates."""
+"""Batches of the policy: recording of attempts, ordering keys, duplicate submissions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def sender(world: World, monkeypatch: pytest.MonkeyPatch) -> Sender:
-    """Put together and restored, in this process; nothing of it listens."""
+    """A sender in this process, restored from its state directory; it does not listen."""
     for name, value in world.environment().items():
         monkeypatch.setenv(name, value)
     sender = create_runtime()[0].sender
@@ -30,15 +30,16 @@
 
 
 def submit(sender: Sender, data: bytes) -> tuple[StoredMessage, AdmissionResult]:
-    """The message of a request, and what became of it."""
+    """Submits a request; returns its message and the result of its admission."""
     admission = sender.clients.admission
     message = admission.parser.parse(read_request(data))
     return message, admission.admit(message)
 
 
 def test_resubmission_during_an_attempt_starts_no_second_attempt(world: World, sender: Sender) -> None:
-    """Its client left before the 202 was out, and submits it again: no second attempt beside the first, over
-    a kill neither, as the write-ahead log knows of the attempt until it has its outcome."""
+    """Guards against concurrent attempts of one message: a client disconnects before its 202 is sent, and
+    submits the message again. No second attempt starts beside the first, also after a kill, as the
+    write-ahead log keeps the attempt until its outcome is known."""
     runner = sender.delivery.policy_runner
     live = sender.delivery.write_ahead_log.messages.live
     data = request("a", "once", "slow 200", 1)
@@ -60,8 +61,9 @@
 def test_final_state_in_the_submission_batch_is_returned_to_the_client(
     sender: Sender, monkeypatch: pytest.MonkeyPatch, retry_after: int | None
 ) -> None:
-    """The client that waits reads it; nobody is notified, and nothing of the message is left. Today's policy
-    decides so in later batches only, but its interface allows it in any."""
+    """The waiting client gets the final state as its response; no notification is sent, and nothing of the
+    message is kept. The present policy reaches a final state in later batches only, but its interface
+    allows it in any batch."""
     runner = sender.delivery.policy_runner
 
     def decide(message_id: int, *_: object) -> None:
@@ -84,7 +86,8 @@
 def test_actions_of_failed_batch_are_performed_with_the_next(
     sender: Sender, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nothing is done for it, and the next one goes on; what the policy asked for by then is done with it."""
+    """A batch that an exception leaves performs no action; the next batch performs the actions queued by
+    then."""
     runner = sender.delivery.policy_runner
     submit_to_policy = runner.policy.submit
 
@@ -109,8 +112,8 @@
 def test_ordered_message_waits_for_notification_of_its_predecessor(
     world: World, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards the order of a key: a message given up is over once the platform has its notification, and no
-    sooner, also where a restart finds it pending."""
+    """Guards the order of an ordering key: a message that was given up is finished only once the platform
+    has accepted its notification, also when a restart finds the notification pending."""
     attempts_seen: list[tuple[str, bool]] = []
     respond = world.respond
 
@@ -124,7 +127,7 @@
     assert world.submit("one", "tag", "hang", 1, time_left_ms=700, ordering_key="k") == 202
     assert world.submit("two", "tag", "200", 1, ordering_key="k") == 202
     assert world.submit("other", "tag", "200", 2, ordering_key="j") == 202
-    until(lambda: world.notifications_to_reject < 10**6 - 2)  # its notification is pending, and was rejected
+    until(lambda: world.notifications_to_reject < 10**6 - 2)  # its notification was rejected and is pending
     until(lambda: world.attempt_count("other") > 0)
     world.kill()
     world.start()
@@ -139,7 +142,8 @@
 def test_full_disk_delays_the_attempt_until_recorded(
     world: World, sender: Sender, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards what was accepted: no attempt is made unrecorded, and none is spent within the same batch."""
+    """Guards against unrecorded attempts, which could run twice after a restart, and against retries
+    within the same batch, which would use up all attempts."""
     write_ahead_log = sender.delivery.write_ahead_log
     record_attempt = write_ahead_log.record_attempt
     failure_times: list[float] = []
@@ -151,7 +155,7 @@
         record_attempt(message, at, endpoint_id)
 
     monkeypatch.setattr(write_ahead_log, "record_attempt", fail_then_record)
-    gevent.get_hub().loop.update_now()  # the start took a while, and its timers count from before
+    gevent.get_hub().loop.update_now()  # startup took time, and timers start from the loop's time
     assert submit(sender, request("a", "once", "200", 1))[1].status is HTTPStatus.ACCEPTED
     assert len(failure_times) == 1
     until(lambda: world.attempt_count("a") == 1 and not write_ahead_log.messages.live)
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again."""
+"""Reload of the configuration at SIGHUP."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def logged_again(log: Path, event: str, before: int) -> bool:
-    """Whether the log has the event more often than before."""
+    """Returns whether the log has the event more than `before` times."""
     return log.read_text().count(event) > before
 
 
 def test_reload_switches_to_another_agent(world: World) -> None:
-    """Under load: watch and notifications follow. What cannot be read changes nothing."""
+    """Polls and notifications move to the new agent. A configuration that cannot be read changes nothing."""
     world.start()
     assert world.process is not None
     log = world.folder / "log"
@@ -39,26 +39,27 @@
     old_agent = world.servers[1]
     new_agent = address_of(world.servers[2])
     world.config["discovery"] = f"127.0.0.1:{new_agent[1]}"
-    world.members[7]["host_port"] = "127.0.0.1:1"  # told by the new agent only, under a revision of the old
+    world.members[7]["host_port"] = "127.0.0.1:1"  # listed by the new agent only, under the old revision
     world.configure()
     world.process.send_signal(signal.SIGHUP)
     until(lambda: log.read_text().count("configuration read") == 1)
     assert "settings applied" not in log.read_text()
     old_agent.stop(timeout=0)
-    until(lambda: world.watches.get(new_agent[1], 0) > 1)  # so the first list has been read
+    until(lambda: world.watches.get(new_agent[1], 0) > 1)  # by now the first list has been applied
     assert world.submit("h0", "once", "200", 7, 1500) == 202
     assert world.submit("h1", "free", "200", 1) == 202
     until(lambda: world.notified("h0") and world.attempt_count("h1"))
     assert world.process.poll() is None
     assert not world.attempt_count("h0")
     world.kill()
-    world.start()  # the environment still names the old address
+    world.start()  # the environment still has the old agent's address
     assert world.submit("h2", "once", "200", 7, 1500) == 202
     until(lambda: world.notified("h2"))
 
 
 def test_sighup_during_startup_reloads_the_configuration(world: World) -> None:
-    """Guards a start: SIGHUP would end a process that is put together, and the file may be new behind it."""
+    """Guards against a SIGHUP during startup that ends the process, or that is lost although the file may
+    have changed since it was read."""
     path = world.folder / "config.json"
     text = path.read_text()
     path.unlink()
@@ -67,7 +68,7 @@
         world.process = subprocess.Popen(
             [sys.executable, "-m", "ashpath"], env=world.environment(), stdout=log, stderr=log
         )
-    pipe = os.open(path, os.O_WRONLY)  # opened once it reads: it is being put together
+    pipe = os.open(path, os.O_WRONLY)  # blocks until the starting process reads the file
     world.process.send_signal(signal.SIGHUP)
     os.write(pipe, text.encode())
     os.close(pipe)
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -1,4 +1,4 @@
-"""What a restart finds in the state directory, and what it does with it."""
+"""Restarts: recovery of messages and outages from the state directory."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def attempted_once(world: World, trace: str) -> bool:
-    """Whether a message has had its first attempt."""
+    """Returns whether a message has had exactly one attempt."""
     return world.attempt_count(trace) == 1
 
 
 def test_kill_preserves_messages_in_every_state(world: World) -> None:
-    """Each kind of traffic class with an attempt in flight, a message that was never sent, and two of one
-    ordering key."""
+    """The sender is killed with an attempt in flight for each kind of traffic class, a message that was
+    never sent, and two messages of one ordering key."""
     world.start()
     for number, traffic_class in enumerate(("free", "tag", "once")):
         world.submit(f"k{number}", traffic_class, "hang 200", number)
@@ -33,7 +33,8 @@
     world.submit("first", "tag", "hang slow", 7, ordering_key="a")
     until(lambda: world.attempt_count("first") == 1)
     assert world.submit("second", "tag", "200", 7, ordering_key="a") == 202
-    # Its notice is off the ledger: one whose 204 a kill cuts off is told again, and causes no harm.
+    # Waits until the write-ahead log no longer has the notification of `late`: a kill that cuts off the 204
+    # would cause a second one, which is harmless.
     until(lambda: world.notified("late") and "late" not in [entry.trace_id for entry in live(world).values()])
     assert world.kill() == -signal.SIGKILL
     world.start()
@@ -52,7 +53,8 @@
 
 
 def test_repeated_kills_neither_lose_nor_repeat_messages(world: World) -> None:
-    """Killed twice with many in all stages: each has one final outcome, and none runs twice that must not."""
+    """Guards against lost and repeated messages: the sender is killed twice with many messages in all
+    stages. Each message reaches one final outcome, and none of the class `once` has a second attempt."""
     world.start()
     accepted = {}
     for number in range(36):
@@ -77,7 +79,8 @@
 
 
 def test_overdue_messages_are_finished_after_a_kill(world: World) -> None:
-    """A deduplication window, a deadline, and a notification that was not acknowledged."""
+    """The restart finds a deduplication window and deadlines that have passed, and a notification that was
+    not acknowledged. It makes no attempt."""
     write_ahead_log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
     attempted_at = stored_time() - 20_000_000
     cases = [(1, 5_000_000, True), (0, -10, False), (1, -10, True), (0, 9, False)]
@@ -99,8 +102,9 @@
 
 
 def test_recovering_destination_gets_one_attempt_after_a_restart(world: World) -> None:
-    """Guards a destination that comes back against senders that restarted within its outage."""
-    address = free_address()  # nobody listens there yet
+    """Guards a recovering destination against a burst from a sender that restarted during its outage: the
+    outage is restored, and one of five queued messages is attempted at first."""
+    address = free_address()  # no server listens on this address yet
     world.members[3]["host_port"] = f"127.0.0.1:{address[1]}"
     rule = {"cold-from": 0.9, "ramp-time": 10000.0, "fall-multiple": 2.0, "fall": 3000.0}
     settings = world.config["settings"]
@@ -109,7 +113,7 @@
     world.start()
     assert world.submit("well", "free", "200", 2) == 202
     until(lambda: world.attempt_count("well"))
-    gevent.sleep(1.6)  # an outage is one where nothing has succeeded for so long
+    gevent.sleep(1.6)  # an outage begins only after this long without a success
     for number in range(5):
         assert world.submit(f"h{number}", "free", "200", 3) == 202
     until(lambda: "destination 3 ailing" in (world.folder / "log").read_text())
@@ -119,12 +123,13 @@
     world.start()
     until(lambda: any(world.attempt_count(f"h{number}") for number in range(5)))
     gevent.sleep(0.2)
-    assert sum(world.attempt_count(f"h{number}") for number in range(5)) == 1  # of five that were held
+    assert sum(world.attempt_count(f"h{number}") for number in range(5)) == 1  # of the five queued messages
     recovered_endpoint.stop()
 
 
 def test_startup_waits_for_free_descriptors(world: World) -> None:
-    """Guards the start: the first socket is that of the first poll, then come the listening ones."""
+    """Guards against a start that fails when descriptors run out for a moment. The first socket is that of
+    the first poll; the listening sockets follow."""
     world.faults = ProcessFaults((CallFault(FaultyCall.SOCKET, "ENFILE", skip=1, count=5),))
     world.start()
     assert world.submit("a", "free", "200", 1) == 202
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -1,4 +1,4 @@
-"""A switch of settings in a sender that runs, and what becomes of the messages that it has."""
+"""Switches of settings in a running sender, and the delivery of its live messages across them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 from ashpath.server.storage.traffic_class_ids import TrafficClassIds
 
-# To switch to: other traffic classes, kinds and zones, zone costs, listed rates, gossip, no load reports.
+# The settings to switch to: other traffic classes, kinds and zones, zone costs, listed rates, gossip, and no
+# load reports.
 CLASS_SETTINGS = {"deadline": 20000.0, "slo": 1000.0, "importance": 3.0, "window": 12000.0}
 LIMITS = {**SETTINGS["limits"], "max-open": 90, "may-tell": True}
 SWITCHED = {
@@ -34,28 +35,29 @@
     "specifics": {"slots": 500, "kind-apart": [True, True], "carriage": [0.01, 0.04], "loses-worth": "line"},
     "contract": {"drain-grace": 500.0, "ask-every": 10000.0, "cold-from": 0.2, "ramp-time": 9000.0},
 }
-# What a message is in as settings are switched: its name, body, first destination, and attempts in the end.
+# States of a message at the switch: name, body, first destination, and attempts in total.
 STATES = (("queued", "200", 6, 1), ("in flight", "slow", 8, 1), ("retry", "503 200", 20, 2))
 
 
 def relist_at_answering_address(world: World, endpoint: int) -> None:
-    """Another agent lists an endpoint, of which nothing answered, at an address that answers."""
+    """Lists an unreachable endpoint at a reachable address, by a reload with another agent."""
     world.members[endpoint]["host_port"] = world.members[5]["host_port"]
     reload_configuration(world, "configuration read", discovery=address_text(world, 2))
 
 
 def address_text(world: World, server: int) -> str:
-    """The address of one of the world's servers."""
+    """Returns the address of one of the world's servers."""
     return f"127.0.0.1:{world.servers[server].server_port}"
 
 
 def all_attempted(world: World, traces: list[str]) -> bool:
-    """Whether each has had an attempt."""
+    """Returns whether each message has had an attempt."""
     return all(world.attempt_count(trace) for trace in traces)
 
 
 def test_settings_switch_delivers_messages_in_every_state(world: World) -> None:
-    """Queued, in flight, and waiting for a retry, twice each way: each is delivered as often as it may be."""
+    """Messages that are queued, in flight, or waiting for a retry at a switch, twice in each direction,
+    have exactly the attempts that their bodies ask for."""
     world.members[6]["host_port"] = "127.0.0.1:1"
     world.configure()
     world.start()
@@ -82,7 +84,8 @@
 
 
 def test_traffic_class_ids_survive_a_kill_after_a_switch(world: World) -> None:
-    """The next incarnation reads them as the killed one gave them; where unwritten, nothing is switched."""
+    """The next incarnation reads the ids that the killed one assigned. A switch whose ids cannot be
+    written is not applied."""
     world.start()
     assert world.submit("f", "free", "hang 200", 1) == world.submit("o", "once", "hang", 2) == 202
     until(lambda: world.attempt_count("f") and world.attempt_count("o"))
@@ -106,7 +109,7 @@
     assert world.attempt_count("o") == 1
     assert len(world.notifications) == 1
     world.kill(signal.SIGTERM)
-    world.start()  # no message is live: ids begin anew
+    world.start()  # without live messages ids are assigned anew
     assert not TrafficClassIds(state).read()
     assert world.submit("x", "label", "200", 3) == 202
     until(lambda: world.attempt_count("x") == 1)
@@ -131,7 +134,8 @@
 def test_invalid_settings_print_one_line_at_reload_and_start(
     world: World, key_path: str, value: object, problem: str
 ) -> None:
-    """It names the key, and at the start the file; at a reload the previous settings serve on."""
+    """The line names the key, and at a start the file too; at a reload the previous settings stay in
+    force."""
     world.start()
     table, _, key = key_path.partition(".")
     world.config["settings"] = dict(SETTINGS)
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM: what is finished, what is refused, and when the process ends."""
+"""Shutdown at SIGTERM: which requests are finished, which are rejected, and when the process ends."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     until(lambda: world.attempt_count("t0") and world.attempt_count("t1"))
     world.process.send_signal(signal.SIGTERM)
     until(lambda: world.response_status(encode_message(b"GET /health/ready HTTP/1.1", [], b"")) == 503)
-    kept.write(request("t2", "free", "200", 2))  # in the time in which connections still come
+    kept.write(request("t2", "free", "200", 2))  # requests are still accepted for a limited time
     response = kept.read_response()
     assert response.status == 202
     assert not response.keep_alive
     assert response.headers[b"connection"] == b"close"
-    assert not idle.receive()  # closed as that time is over
+    assert not idle.receive()  # closed at the end of that time
     assert world.submit("t3", "free", "200", 3) == 503
     until(lambda: world.process is None or world.process.poll() is not None)
     assert world.process.returncode == 0
@@ -49,7 +49,8 @@
 
 
 def test_second_sigterm_does_not_extend_the_shutdown(world: World) -> None:
-    """It puts nothing off: a client within a request has the response that the first one owes."""
+    """The deadlines of the first SIGTERM stay in force: a client in the middle of a request gets its
+    response by then."""
     world.start()
     assert world.process is not None
     hanging_request = request("out", "once", "hang", 1)
@@ -70,8 +71,8 @@
 
 
 def test_queued_attempt_avoids_endpoint_drained_during_shutdown(world: World) -> None:
-    """What is queued as SIGTERM comes still has its attempt, and not at an endpoint that drains meanwhile; a
-    notification that the platform does not take is sent by the next incarnation."""
+    """A message that is queued at SIGTERM still has its attempt, but not at an endpoint that begins to
+    drain meanwhile. A notification that the platform rejects is sent by the next incarnation."""
     received_requests: list[object] = []
     release = Event()
 
@@ -90,7 +91,7 @@
     assert world.process is not None
     for trace in ("first", "second"):
         assert world.submit(trace, "tag", "200", 1, ordering_key="k") == 202
-    until(lambda: received_requests)  # the first hangs there; the second waits behind it
+    until(lambda: received_requests)  # the first message hangs; the second waits for it
     world.notifications_to_reject = 10**6
     assert world.submit("given-up", "once", "hang", 2, time_left_ms=300) == 202
     world.process.send_signal(signal.SIGTERM)
@@ -98,8 +99,8 @@
     listed_members = [*world.members, {**world.members[1], "phase": "draining"}, successor]
     world.config["known"] = {"revision": 9, "complete": True, "members": listed_members}
     before = sum(world.watches.values())
-    until(lambda: sum(world.watches.values()) > before + 1)  # so the drain is known
-    release.set()  # its call ends, and may be made again
+    until(lambda: sum(world.watches.values()) > before + 1)  # the sender has polled the new list
+    release.set()  # the hanging attempt ends, and may be retried
     until(lambda: world.process is None or world.process.poll() is not None)
     assert len(received_requests) == 1
     world.notifications_to_reject = 0
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers: in which order they fire, and when the loop looks again."""
+"""Timers: the order in which they fire, and how long the loop waits."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from ashpath.server.timers import Timers, now
 
-HOUR_US = 3_600_000_000  # microseconds: not within a test
+HOUR_US = 3_600_000_000  # later than the end of any test
 
 
 class RecordingListener:
-    """Remembers what fired, a list for each call."""
+    """Records the tokens that fired, one list per call."""
 
     def __init__(self) -> None:
         self.calls: list[list[str]] = []
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def timers(listener: RecordingListener) -> Iterator[Timers]:
-    """Timers whose loop runs."""
+    """Timers with a running loop."""
     running = Timers(listener)
     greenlet = gevent.spawn(running.run)
     yield running
@@ -58,7 +58,7 @@
     timers: Timers, listener: RecordingListener
 ) -> None:
     timers.add(now() + HOUR_US, "far")
-    gevent.sleep(0)  # the loop waits for it now
+    gevent.sleep(0)  # from here on the loop waits for this timer
     timers.add(now(), "near")
     until(lambda: listener.calls)
     assert listener.calls == [["near"]]
--- a/tests/server/test_upgrade_between_releases.py
+++ b/tests/server/test_upgrade_between_releases.py
@@ -1,7 +1,8 @@
-"""Hot upgrades between the release before the packages were renamed and this tree, forth and back.
+"""Hot upgrades between the release before the renaming of packages and this tree, in both directions.
 
-The earlier release runs out of `fixtures/releases`. Both processes share the listening socket and the state
-directory: no message may be lost or doubled, and what one is told binds the other.
+The earlier release runs from `tests/fixtures/releases`. Both processes share the listening socket and the
+state directory. Guards against lost and duplicate messages, and against detached endpoints and Retry-After
+that only one of the processes observes.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 UPGRADE_IDS = ["to this tree", "back to the earlier release"]
 
 
-CLIENT_COUNT = 4  # each with one message at a time
+CLIENT_COUNT = 4  # each submits one message at a time
 
 
 class Load:
-    """Clients that submit one message after another, until they are stopped.
+    """Clients that submit one message after another until they are stopped.
 
-    None of the messages may run twice: one that may is called again where its call was out as the process was
-    killed, as it should be."""
+    The messages are of a class that must not run twice, as repeatable messages are attempted again when a
+    kill interrupts their attempt."""
 
     def __init__(self, world: World, clients: int = CLIENT_COUNT) -> None:
         self.accepted: list[str] = []
@@ -48,7 +49,7 @@
             gevent.sleep(0.01)
 
     def stop(self) -> list[str]:
-        """The ids of what was accepted."""
+        """Stops the clients; returns the trace ids of the accepted messages."""
         self._running = False
         self._clients.join()
         return self.accepted
@@ -59,7 +60,7 @@
 def test_upgrade_neither_loses_nor_duplicates_messages(
     pair: tuple[World, World], first: Path, second: Path, end_signal: signal.Signals
 ) -> None:
-    """Under load, with messages queued and in flight at the process that ends."""
+    """The old process ends under load, with messages queued and in flight."""
     old, new = start_with_releases(pair, first, second)
     load = Load(old)
     until(lambda: len(load.accepted) > 20)
@@ -70,8 +71,8 @@
     before = len(load.accepted)
     until(lambda: len(load.accepted) > before + 20)
     accepted = load.stop()
-    # An attempt is recorded before it is sent: one that the kill kept from being sent may have run, as far as
-    # the record says, and ends by its notice.
+    # An attempt is recorded before it is sent. After a kill between the two, the attempt counts as possibly
+    # run, and the message ends with a notification.
     until(lambda: all(new.attempt_count(trace) or new.notified(trace) for trace in accepted))
     assert [trace for trace in accepted if new.attempt_count(trace) > 1] == []
     unattempted = [trace for trace in accepted if not new.attempt_count(trace)]
@@ -86,7 +87,7 @@
 def test_detached_endpoint_applies_to_both_processes(
     pair: tuple[World, World], first: Path, second: Path
 ) -> None:
-    """Endpoints that an operator detaches at either."""
+    """Endpoints that an operator detaches at either process get no attempt from the other."""
     old, new = start_with_releases(pair, first, second)
     new.start()
     assert new.operator_command(b"DETACH e5\n").startswith(b"OK")
@@ -100,8 +101,9 @@
 
 @pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
 def test_retry_after_applies_to_both_processes(pair: tuple[World, World], first: Path, second: Path) -> None:
-    """Received by a process that is killed then: its successor sends nothing to that destination until it is
-    over. A process that ends in order would wait for it itself."""
+    """The process that received the Retry-After is killed; the other sends nothing to that destination
+    until it has passed. The process is killed because an orderly shutdown would wait for the Retry-After
+    itself."""
     old, new = start_with_releases(pair, first, second)
     new.start()
     assert old.submit("rejected", "free", "wait 200", 7) == 202
@@ -115,7 +117,8 @@
 
 
 def start_with_releases(pair: tuple[World, World], first: Path, second: Path) -> tuple[World, World]:
-    """The pair, its first process of one release and its second, not started yet, of the other."""
+    """Restarts the first process of the pair from release `first`; the second, of `second`, is not started
+    yet."""
     old, new = pair
     terminate(old)
     old.release = first
