--- a/tests/server/test_policy_batch.py
+++ b/tests/server/test_policy_batch.py
@@ -1,4 +1,5 @@
-"""A batch: its time, its events, what another process published, its close, and then the actions."""
+"""Order of calls in a batch: its start, its events, updates of the other process, its end, and the
+actions."""
 
 from __future__ import annotations
 
@@ -21,8 +22,8 @@
 LISTED = {"id": "e1", "cell": 7, "phase": "up", "host_port": "127.0.0.1:1"}
 
 
-class Stages:
-    """A batch of this process, the other process's shared memory, and all calls in their order."""
+class BatchSetup:
+    """A batch of this process, the shared memory of the other process, and all calls in order."""
 
     def __init__(self, directory: Path) -> None:
         logger = structlog.get_logger()
@@ -37,26 +38,26 @@
         self.calls.attach_mock(actions, "actions")
         shared_memory = SharedMemory(directory)
         self.other_process = SharedMemory(directory)
-        shared_memory.updates(stored_time())  # nothing is news from here on
+        shared_memory.updates(stored_time())  # all earlier updates count as read
         shared = SharedUpdateReader(shared_memory, self.detached_endpoints, registry)
         self.batch = PolicyBatch(policy, actions, shared)
         self.records = registry.records
 
-    def names(self) -> list[str]:
-        """The calls so far."""
+    def call_names(self) -> list[str]:
+        """Returns the names of the calls so far."""
         return [call[0] for call in self.calls.mock_calls]
 
 
 @pytest.fixture
-def stages(tmp_path: Path) -> Stages:
-    return Stages(tmp_path)
+def batch_setup(tmp_path: Path) -> BatchSetup:
+    return BatchSetup(tmp_path)
 
 
-def test_actions_are_performed_once_the_batch_is_closed(stages: Stages) -> None:
-    with stages.batch as policy:
+def test_actions_are_performed_after_the_batch_ends(batch_setup: BatchSetup) -> None:
+    with batch_setup.batch as policy:
         policy.timer_fired("r")
-        assert "actions.perform" not in stages.names()
-    assert stages.names() == [
+        assert "actions.perform" not in batch_setup.call_names()
+    assert batch_setup.call_names() == [
         "policy.begin_batch",
         "policy.timer_fired",
         "policy.end_batch",
@@ -64,16 +65,17 @@
     ]
 
 
-def test_what_the_other_process_published_comes_behind_the_events(stages: Stages) -> None:
-    """They may list the very endpoints; the close, which sends, comes after it. It comes once."""
-    until = stored_time() + 3_000_000
-    stages.other_process.publish_retry_after(7, "e1", until)
-    stages.detached_endpoints.change("e1", detached=True)
-    stages.other_process.publish_detached_change()
+def test_updates_of_other_process_follow_the_events(batch_setup: BatchSetup) -> None:
+    """The updates of the other process follow the events, which may list the endpoints that the updates
+    name, and precede the end of the batch, which starts attempts. Each update is reported once."""
+    expires_at = stored_time() + 3_000_000
+    batch_setup.other_process.publish_retry_after(7, "e1", expires_at)
+    batch_setup.detached_endpoints.change("e1", detached=True)
+    batch_setup.other_process.publish_detached_change()
     for _ in range(2):
-        with stages.batch as policy:
+        with batch_setup.batch as policy:
             policy.timer_fired("r")
-    assert stages.names() == [
+    assert batch_setup.call_names() == [
         "policy.begin_batch",
         "policy.timer_fired",
         "policy.retry_after_received",
@@ -85,20 +87,20 @@
         "policy.end_batch",
         "actions.perform",
     ]
-    destination, endpoint_id, at = stages.calls.policy.retry_after_received.call_args.args
+    destination, endpoint_id, at = batch_setup.calls.policy.retry_after_received.call_args.args
     assert (destination, endpoint_id) == (7, "e1")
     assert 2_000_000 < at - now() <= 3_000_000
-    assert stages.calls.policy.set_detached.call_args.args == ("e1", True, stages.records["e1"])
+    assert batch_setup.calls.policy.set_detached.call_args.args == ("e1", True, batch_setup.records["e1"])
 
 
-def test_an_error_leaves_the_batch_open(stages: Stages) -> None:
-    """Nothing is sent on half of the events; the next batch takes what is published after it."""
-    stages.other_process.publish_retry_after(7, "e1", stored_time() + 3_000_000)
-    with pytest.raises(ZeroDivisionError), stages.batch:
+def test_error_prevents_the_end_of_the_batch(batch_setup: BatchSetup) -> None:
+    """No attempt starts on incomplete events; the next batch applies what is published after the error."""
+    batch_setup.other_process.publish_retry_after(7, "e1", stored_time() + 3_000_000)
+    with pytest.raises(ZeroDivisionError), batch_setup.batch:
         raise ZeroDivisionError
-    assert stages.names() == ["policy.begin_batch"]
-    stages.other_process.publish_retry_after(7, "e2", stored_time() + 3_000_000)
-    with stages.batch:
+    assert batch_setup.call_names() == ["policy.begin_batch"]
+    batch_setup.other_process.publish_retry_after(7, "e2", stored_time() + 3_000_000)
+    with batch_setup.batch:
         pass
-    assert stages.names()[-2:] == ["policy.end_batch", "actions.perform"]
-    assert "policy.retry_after_received" in stages.names()
+    assert batch_setup.call_names()[-2:] == ["policy.end_batch", "actions.perform"]
+    assert "policy.retry_after_received" in batch_setup.call_names()
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers: in which order they fire, and when the loop looks again."""
+"""Timers: the order in which they fire, and how long the loop waits."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from ashpath.server.timers import Timers, now
 
-FAR = 3_600_000_000  # microseconds: not within a test
+HOUR_US = 3_600_000_000  # later than the end of any test
 
 
 class RecordingListener:
-    """Remembers what fired, a list for each call."""
+    """Records the tokens that fired, one list per call."""
 
     def __init__(self) -> None:
         self.calls: list[list[str]] = []
@@ -30,16 +30,14 @@
 
 @pytest.fixture
 def timers(listener: RecordingListener) -> Iterator[Timers]:
-    """Timers whose loop runs."""
+    """Timers with a running loop."""
     running = Timers(listener)
     greenlet = gevent.spawn(running.run)
     yield running
     greenlet.kill()
 
 
-def test_all_that_are_due_fire_together_in_the_order_of_their_times(
-    timers: Timers, listener: RecordingListener
-) -> None:
+def test_due_timers_fire_together_in_order_of_time(timers: Timers, listener: RecordingListener) -> None:
     due = now() - 10
     timers.add(due + 2, "second")
     timers.add(due, "first")
@@ -48,7 +46,7 @@
     assert listener.calls == [["first", "second", "third, as it was scheduled later"]]
 
 
-def test_a_timer_fires_once(timers: Timers, listener: RecordingListener) -> None:
+def test_timer_fires_only_once(timers: Timers, listener: RecordingListener) -> None:
     timers.add(now(), "once")
     wait_until(lambda: listener.calls)
     timers.add(now(), "later")
@@ -56,18 +54,18 @@
     assert listener.calls == [["once"], ["later"]]
 
 
-def test_an_earlier_timer_is_not_held_up_by_one_that_is_waited_for(
+def test_earlier_timer_fires_while_a_later_one_is_awaited(
     timers: Timers, listener: RecordingListener
 ) -> None:
-    timers.add(now() + FAR, "far")
-    gevent.sleep(0)  # the loop waits for it now
+    timers.add(now() + HOUR_US, "far")
+    gevent.sleep(0)  # from here on the loop waits for this timer
     timers.add(now(), "near")
     wait_until(lambda: listener.calls)
     assert listener.calls == [["near"]]
     assert [timer.token for timer in timers.heap] == ["far"]
 
 
-def test_the_time_to_the_next_one() -> None:
+def test_seconds_to_next_timer_are_computed() -> None:
     timers = Timers(RecordingListener())
     assert timers.seconds_to_next(5) is None
     timers.add(2_500_005, "a")
--- a/tests/server/test_upgrade_between_releases.py
+++ b/tests/server/test_upgrade_between_releases.py
@@ -1,7 +1,8 @@
-"""Hot upgrades between the release before the packages were renamed and this tree, forth and back.
+"""Hot upgrades between the release before the renaming of packages and this tree, in both directions.
 
-The earlier release runs out of `fixtures/releases`. Both processes share the listening socket and the state
-directory: no message may be lost or doubled, and what one is told binds the other.
+The earlier release runs from `tests/fixtures/releases`. Both processes share the listening socket and the
+state directory. Guards against lost and duplicate messages, and against detached endpoints and Retry-After
+that only one of the processes observes.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 
 EARLIER = ROOT / "tests" / "fixtures" / "releases" / "ashpath-3949f73.zip"
 RELEASES = [(EARLIER, ROOT), (ROOT, EARLIER)]
-NAMES = ["to this tree", "back to the earlier release"]
+UPGRADE_IDS = ["to this tree", "back to the earlier release"]
 
 
-CLIENTS = 4  # each with one message at a time
+CLIENT_COUNT = 4  # each submits one message at a time
 
 
 class Load:
-    """Clients that submit one message after another, until they are stopped.
+    """Clients that submit one message after another until they are stopped.
 
-    None of the messages may run twice: one that may is called again where its call was out as the process was
-    killed, as it should be."""
+    The messages are of a class that must not run twice, as repeatable messages are attempted again when a
+    kill interrupts their attempt."""
 
-    def __init__(self, world: World, clients: int = CLIENTS) -> None:
+    def __init__(self, world: World, clients: int = CLIENT_COUNT) -> None:
         self.accepted: list[str] = []
         self._world = world
         self._running = True
@@ -48,44 +49,46 @@
             gevent.sleep(0.01)
 
     def stop(self) -> list[str]:
-        """The ids of what was accepted."""
+        """Stops the clients; returns the trace ids of the accepted messages."""
         self._running = False
         self._clients.join()
         return self.accepted
 
 
-@pytest.mark.parametrize("by", [signal.SIGTERM, signal.SIGKILL], ids=["SIGTERM", "SIGKILL"])
-@pytest.mark.parametrize(("first", "second"), RELEASES, ids=NAMES)
-def test_no_message_is_lost_or_doubled(
-    pair: tuple[World, World], first: Path, second: Path, by: signal.Signals
+@pytest.mark.parametrize("end_signal", [signal.SIGTERM, signal.SIGKILL], ids=["SIGTERM", "SIGKILL"])
+@pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
+def test_upgrade_neither_loses_nor_duplicates_messages(
+    pair: tuple[World, World], first: Path, second: Path, end_signal: signal.Signals
 ) -> None:
-    """Under load, with messages queued and in flight at the process that ends."""
-    old, new = restart(pair, first, second)
+    """The old process ends under load, with messages queued and in flight."""
+    old, new = start_with_releases(pair, first, second)
     load = Load(old)
     wait_until(lambda: len(load.accepted) > 20)
     assert old.submit("in-flight", "once", "hang", 1, time_left_ms=8000) == 202
     wait_until(lambda: old.attempt_count("in-flight") == 1)
     new.start()
-    assert old.kill(by) == (0 if by is signal.SIGTERM else -signal.SIGKILL)
+    assert old.kill(end_signal) == (0 if end_signal is signal.SIGTERM else -signal.SIGKILL)
     before = len(load.accepted)
     wait_until(lambda: len(load.accepted) > before + 20)
     accepted = load.stop()
-    # An attempt is recorded before it is sent: one that the kill kept from being sent may have run, as far as
-    # the record says, and ends by its notice.
+    # An attempt is recorded before it is sent. After a kill between the two, the attempt counts as possibly
+    # run, and the message ends with a notification.
     wait_until(lambda: all(new.attempt_count(trace) or new.notified(trace) for trace in accepted))
     assert [trace for trace in accepted if new.attempt_count(trace) > 1] == []
-    untried = [trace for trace in accepted if not new.attempt_count(trace)]
-    assert all(new.notified(trace) == ["undeliverable"] for trace in untried)
-    assert len(untried) <= (0 if by is signal.SIGTERM else CLIENTS)
+    unattempted = [trace for trace in accepted if not new.attempt_count(trace)]
+    assert all(new.notified(trace) == ["undeliverable"] for trace in unattempted)
+    assert len(unattempted) <= (0 if end_signal is signal.SIGTERM else CLIENT_COUNT)
     wait_until(lambda: new.notified("in-flight"))
     assert new.notified("in-flight") == ["undeliverable"]
     assert new.attempt_count("in-flight") == 1
 
 
-@pytest.mark.parametrize(("first", "second"), RELEASES, ids=NAMES)
-def test_a_detached_endpoint_binds_both(pair: tuple[World, World], first: Path, second: Path) -> None:
-    """Endpoints that an operator detaches at either."""
-    old, new = restart(pair, first, second)
+@pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
+def test_detached_endpoint_applies_to_both_processes(
+    pair: tuple[World, World], first: Path, second: Path
+) -> None:
+    """Endpoints that an operator detaches at either process get no attempt from the other."""
+    old, new = start_with_releases(pair, first, second)
     new.start()
     assert new.operator_command(b"DETACH e5\n").startswith(b"OK")
     assert old.operator_command(b"DETACH e6\n").startswith(b"OK")
@@ -96,11 +99,12 @@
     assert new.attempt_count("detached-5") == new.attempt_count("detached-6") == 0
 
 
-@pytest.mark.parametrize(("first", "second"), RELEASES, ids=NAMES)
-def test_a_retry_after_binds_both(pair: tuple[World, World], first: Path, second: Path) -> None:
-    """Received by a process that is killed then: its successor sends nothing to that destination until it is
-    over. A process that ends in order would wait for it itself."""
-    old, new = restart(pair, first, second)
+@pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
+def test_retry_after_applies_to_both_processes(pair: tuple[World, World], first: Path, second: Path) -> None:
+    """The process that received the Retry-After is killed; the other sends nothing to that destination
+    until it has passed. The process is killed because an orderly shutdown would wait for the Retry-After
+    itself."""
+    old, new = start_with_releases(pair, first, second)
     new.start()
     assert old.submit("rejected", "free", "wait 200", 7) == 202
     wait_until(lambda: old.attempt_count("rejected") == 1)
@@ -112,8 +116,9 @@
     assert monotonic() - received > 1.8
 
 
-def restart(pair: tuple[World, World], first: Path, second: Path) -> tuple[World, World]:
-    """The pair, its first process of one release and its second, not started yet, of the other."""
+def start_with_releases(pair: tuple[World, World], first: Path, second: Path) -> tuple[World, World]:
+    """Restarts the first process of the pair from release `first`; the second, of `second`, is not started
+    yet."""
     old, new = pair
     terminate(old)
     old.release = first
