--- a/ashpath/core/sender_state.py
+++ b/ashpath/core/sender_state.py
@@ -32,7 +32,8 @@
         self.now = 0
         """The time of the batch, in microseconds."""
         self.initial_rate = initial_rate
-        """Calls per second to a destination whose rate limit is not known yet."""
+        """The calls per second at which a gate starts once its rate limit is known, unless the even split is
+        higher. The outcomes at all gates adapt this rate."""
         self.durations = durations
         """The durations of deliveries in microseconds, over all destinations."""
         self.submissions = submissions
--- a/ashpath/emulator/destination/faults.py
+++ b/ashpath/emulator/destination/faults.py
@@ -1,5 +1,5 @@
-"""Faults of a destination. Concurrent faults combine: factors multiply and shares add. A silent destination
-stays silent, whatever other faults are active."""
+"""Faults of a destination. Concurrent faults combine: factors multiply and shares add. A destination
+that is down refuses connections even while it is silent; a silent destination ignores all other faults."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 class Fault(Enum):
-    """The kinds of faults of a destination. Some of them are scaled by an `amount`.
+    """The kinds of faults of a destination.
+
+    `amount` is a factor for SLOW and RATE_LIMIT, and a share of the calls or responses, as a fraction of 1,
+    for ERRORS, ERRORS_AFTER, LOST_RESPONSES and RESETS. The other faults ignore the amount.
 
     The values are the names in scenario files.
     """
--- a/ashpath/emulator/destination/properties.py
+++ b/ashpath/emulator/destination/properties.py
@@ -15,7 +15,7 @@
     """
 
     workers: int = 4
-    """Concurrent calls that are executed, per endpoint or by all endpoints together."""
+    """The number of calls executed at the same time, per endpoint or, if shared, by all endpoints."""
     shares_workers: bool = False
     """Whether all endpoints share the workers."""
     service_times: tuple[int, ...] = (50_000,)
@@ -60,14 +60,14 @@
     slow_start_time: int = 10 * SECOND
     """The length of slow start, in which the speed rises from `slow_start_share` to 1."""
     overload_multiple: float = 2.0
-    """The multiple of its capacity in slow start above which a destination is overloaded."""
+    """The multiple of the reduced capacity in slow start above which calls overload the destination."""
     overload_duration: int = 3 * SECOND
     """The duration of an overload in slow start after which the destination collapses."""
     collapse_time: int = 15 * SECOND
     """The time for which the destination is silent after a collapse."""
     pause_interval: int = 0
     """The interval between pauses, such as those of a garbage collector; 0 for no pauses."""
-    pause_time: int = 0
+    pause_time: int = 0  # the length of each pause, in which the execution of no call starts
     deduplication_window: int = 5 * SECOND
     """The time for which an idempotency key is remembered and duplicates are recognized."""
     completes_abandoned_calls: bool = True
--- a/ashpath/emulator/invariant_records.py
+++ b/ashpath/emulator/invariant_records.py
@@ -10,7 +10,7 @@
 
 
 class MessageEvent(NamedTuple):
-    """One observed event of a message."""
+    """One observed event of a message, at a time in microseconds."""
 
     at: int
     what: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """One violation of a rule, with the events of the message that it concerns, if any."""
+    """One violation of a rule, at a time in microseconds, with the events of the message, if any."""
 
     rule: str
     at: int
@@ -29,7 +29,10 @@
 
 @dataclass(eq=False, slots=True)
 class WatchedMessage:
-    """One message at one sender, from its acceptance until it has ended and has no attempt in flight."""
+    """One message at one sender, from its acceptance until it has ended and has no attempt in flight.
+
+    Times are in microseconds.
+    """
 
     id: str
     sender: int
@@ -42,7 +45,7 @@
     """Number of attempts without an outcome."""
     first_run_at: int | None = None
     """Start of the first attempt that may have run."""
-    final_answer: str = ""
+    final_answer: str = ""  # the first final answer, or "left" if the client no longer waits
     events: list[MessageEvent] = field(default_factory=list)
 
 
@@ -50,10 +53,10 @@
 class OrderedQueue:
     """The messages of one key at one sender, in order of acceptance.
 
-    The queue is removed with its last message, unless the key settles.
+    The queue is removed with its last message, unless the key still settles. Times are in microseconds.
     """
 
     waiting: deque[WatchedMessage] = field(default_factory=deque)
     settles_until: int = 0
     settling_message: WatchedMessage | None = None
-    """Message whose call may still run; only this message may be sent while the key settles."""
+    """The message whose call may still run; only this message may be sent while the key settles."""
--- a/ashpath/emulator/policy_under_test.py
+++ b/ashpath/emulator/policy_under_test.py
@@ -1,8 +1,8 @@
 """The interfaces between the simulation and the policy that it runs.
 
-The delivery policy and the baselines implement `PolicyUnderTest`. A `PolicyFactory` creates one for each
-incarnation of a sender. `GlobalView` gives access to state that no real policy can see; only the oracle
-uses it.
+The delivery policy and the baselines implement `PolicyUnderTest`. A `PolicyFactory` creates a policy for
+each incarnation of a sender. `GlobalView` gives access to state that no real policy can see; only the oracle
+uses this access.
 """
 
 from __future__ import annotations
@@ -32,9 +32,10 @@
 
 
 class PolicyUnderTest(Protocol):
-    """Events that a sender reports to its policy, always between `begin_batch` and `end_batch`.
+    """A policy, as a sender calls it. Events are reported between `begin_batch` and `end_batch`.
 
-    Times are in microseconds. `ashpath.core.interface` has the actions that a policy requests in return.
+    `still_valid` is a query, not an event, and is called outside batches. Times are in microseconds.
+    `ashpath.core.interface` has the actions that a policy requests in return.
     """
 
     def begin_batch(self, now: int) -> None:
@@ -63,7 +64,10 @@
         """Restores a message that the previous incarnation accepted."""
 
     def restore_outage(self, number: int, endpoint_id: str, rate: float) -> None:
-        """Restores an outage of a destination or endpoint that the previous incarnation saw."""
+        """Restores an outage of a destination or endpoint that the previous incarnation detected.
+
+        `rate` is the rate of deliveries before the outage, per second.
+        """
 
     def still_valid(self, message_id: int, now: int) -> bool:
         """Returns whether an attempt may still be sent once its connection is established."""
@@ -98,7 +102,7 @@
         """Returns whether the network between a sender and a destination is partitioned."""
 
     def calls_in_flight(self, destination: int) -> int:
-        """Returns the number of calls of all senders that have no outcome yet."""
+        """Returns the number of all senders' calls to a destination that have no outcome yet."""
 
     def calls_on_the_way(self, destination: int) -> int:
         """Returns the number of calls in flight that have not reached the destination."""
--- a/ashpath/emulator/scenario/settings.py
+++ b/ashpath/emulator/scenario/settings.py
@@ -1,5 +1,5 @@
 """Conversion of a scenario to the settings of its senders, the properties of its destinations and the lengths
-of its spans."""
+of its spans, and the random delays of service discovery."""
 
 from dataclasses import fields
 from pathlib import Path
@@ -16,7 +16,7 @@
 from ashpath.emulator.destination.properties import DestinationProperties
 from ashpath.emulator.scenario.schema import DestinationGroup, DiscoveryDelay, Scenario, Span
 
-UNLIMITED_QUEUE_CAPACITY = 10_000_000  # messages
+UNLIMITED_QUEUE_CAPACITY = 10_000_000  # messages; in effect no limit
 COPIED_PROPERTIES = [
     attribute.name
     for attribute in fields(DestinationProperties)
@@ -43,11 +43,12 @@
     configuration.sender.number = number
     configuration.sender.senders = scenario.fleet.senders
     settings = policy_settings(seed, platform_form(configuration, "0")["settings"])
-    return replace(settings, reports_full_connection_table=True)  # as a sender on sockets does
+    # A sender on sockets reports full connection tables too.
+    return replace(settings, reports_full_connection_table=True)
 
 
 def destination_properties(group: DestinationGroup, folder: Path) -> DestinationProperties:
-    """Returns the properties of a kind of destination. The file of its samples is read from the folder.
+    """Returns the properties of a kind of destination. The file with the samples is read from the folder.
 
     Raises ValueError or OSError if the samples cannot be read.
     """
@@ -55,7 +56,7 @@
     if group.samples:
         lines = (folder / group.samples).read_text().split()
         samples = tuple(parse_amount(line, TIMES) for line in lines)
-    values: dict[str, Any] = {}  # by property; each has the type of its property
+    values: dict[str, Any] = {}  # by the name of the property; each value has its type
     for key in COPIED_PROPERTIES:
         value = getattr(group, key)
         values[key] = int(value) if isinstance(value, Duration) else value
@@ -80,6 +81,6 @@
 
 
 def draw_discovery_delay(discovery_delay: DiscoveryDelay, random: Random) -> int:
-    """Returns the random delay in microseconds from a change of endpoints to its update at one sender."""
+    """Returns the random delay in microseconds from a change of endpoints to the update of one sender."""
     spread = int(discovery_delay.spread)
     return int(discovery_delay.delay) + (random.randrange(spread) if spread else 0)
--- a/ashpath/emulator/simulation/sender_context.py
+++ b/ashpath/emulator/simulation/sender_context.py
@@ -16,18 +16,21 @@
 
 
 class RequestOwner(Protocol):
-    """Receives the ends of messages that a sender had accepted."""
+    """Receives the final outcomes of messages that a sender accepted."""
 
     def delivered(self, request: ClientRequest) -> None:
         """Records the delivery of a request."""
 
     def message_ended(self, request: ClientRequest, outcome: FinalOutcome, retry_after: int) -> None:
-        """Handles a rejected or failed message. `retry_after` is in microseconds, 0 for none."""
+        """Handles the end of a rejected or failed message. `retry_after`: microseconds, 0 for none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The response to a submission that was not accepted, or that ended in the batch that submitted it."""
+    """The response to a submission whose message was not accepted, or ended in the batch that submitted it.
+
+    `retry_after` is in microseconds, 0 for none.
+    """
 
     outcome: FinalOutcome
     retry_after: int
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderContext:
-    """Objects that all senders of a run share."""
+    """The values and objects that all senders of a run share."""
 
     scenario: Scenario
     seed: int
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -7,7 +7,7 @@
 | CLOSED | sign of load, limit falls to zero | OPEN | first cooldown |
 | OPEN | call after cooldown and reservations | HALF_OPEN | the call is the trial request |
 | HALF_OPEN | trial request delivered | CLOSED | limit is one |
-| HALF_OPEN | sign of load | OPEN | longer cooldown |
+| HALF_OPEN | sign of load | OPEN | longer cooldown; after a refused connection see `_open` |
 | HALF_OPEN | any other outcome | OPEN | no cooldown: the next call is the trial request |
 | OPEN | another sender reports the recovery from an outage | CLOSED | limit is one |
 """
--- a/ashpath/policy/queues.py
+++ b/ashpath/policy/queues.py
@@ -14,8 +14,8 @@
     def duration_bound(self, traffic_class: TrafficClass) -> int:
         """Returns the microseconds within which nearly all calls of the class end at this destination.
 
-        Until the class has enough deliveries here, twice the bound of all deliveries counts, then the class's
-        latency objective.
+        If the class has too few deliveries here, returns twice the bound of all deliveries at all
+        destinations; if those are too few as well, returns the latency objective of the class.
         """
         for durations, factor in ((self.durations[traffic_class.index], 1), (self.state.durations, 2)):
             if durations.count >= tuning.MIN_DURATION_SAMPLES:
--- a/ashpath/server/control/commands.py
+++ b/ashpath/server/control/commands.py
@@ -9,7 +9,7 @@
 
 
 class Verb(Enum):
-    """First word of a command, as on the wire."""
+    """The first word of a command, as on the wire."""
 
     PING = "PING"  # check that the sender serves
     DETACH = "DETACH"  # take an endpoint out of service for this sender, whatever the endpoint list says
@@ -34,15 +34,15 @@
 
 
 class CommandResult(Struct, frozen=True):
-    """Result of a command, as the answer reports it."""
+    """The result of a command, as the response reports it."""
 
     succeeded: bool
-    message: str = ""  # the reason of a failure, else what was done; may be empty
+    message: str = ""  # the reason of a failure, otherwise what was done; may be empty
 
 
 class CommandHandler(Protocol):
     """Executes operators' commands."""
 
     def handle(self, command: OperatorCommand) -> CommandResult:
-        """Executes one command. Implementations must not wait, as no time limit covers the call."""
+        """Executes one command. Implementations must not block, as no time limit covers the call."""
         ...
--- a/ashpath/server/discovery/lease.py
+++ b/ashpath/server/discovery/lease.py
@@ -1,8 +1,8 @@
 """The lease on the endpoint list: the deadline by which the list must be read again, despite failed polls.
 
-A change counts as received a fixed time after the agent had it and was reachable, for any number and kinds
-of failed polls in between. Therefore one deadline, counted from the last list that was read, bounds polls and
-pauses together; separate limits for each failure would add up.
+A change of the endpoint list counts as received a fixed time after the agent had the change and was
+reachable, for any number and kinds of failed polls in between. Therefore one deadline, counted from the last
+list that was read, bounds polls and pauses together; separate limits for each failure would add up.
 
 | event | effect on the lease |
 | --- | --- |
@@ -23,7 +23,7 @@
 
 
 class ListLease:
-    """Times are seconds of the monotonic clock; `length_s` is how long one list may be used."""
+    """The lease. Times are seconds of the monotonic clock; one list may be used for `length_s`."""
 
     def __init__(self, now: float, length_s: float) -> None:
         self.length_s = length_s
@@ -37,7 +37,7 @@
 
     def shorten(self, now: float, length_s: float) -> None:
         """Shortens the lease after a change of address: the new agent's list must be read within
-        `length_s`."""
+        `length_s`. An expired lease starts anew with this length."""
         self.expires_at = min(self.expires_at, now + length_s) if self.remaining(now) > 0 else now + length_s
         self.rejections = 0
 
@@ -56,8 +56,8 @@
     def pause_after_rejection(self, now: float, backoff_s: float, jitter_share: float) -> float:
         """Returns the pause after a rejection: `backoff_s`, as far as the lease allows.
 
-        `jitter_share`: random share of the longest pause, as all senders of a fleet may have been rejected at
-        the same time."""
+        `jitter_share` is a random factor of the longest pause: all senders of a fleet may have been rejected
+        at the same time, and must not poll again together."""
         self.rejections += 1
         remaining = self.remaining(now) - LAST_POLL_RESERVE_S
         if remaining <= 0:
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -3,8 +3,8 @@
     .venv/bin/python -m benchmarks.start [RUNS] [BASE]
 
 Compares `ashpath serve` with `python -m ashpath`, with the same destinations, and the latter with itself at
-an older commit, BASE. Runs alternate, so that a slow period of the machine affects all variants. Ratios are
-ratios of medians.
+an older commit, BASE. Each run starts every variant once, so that a slow period of the machine affects all
+variants. Ratios are ratios of medians.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """One way to start a sender: its command, and the variables added to its environment."""
+    """One way to start a sender: its command, directory and port, and variables added to its environment."""
 
     command: list[str]
     directory: Path
@@ -70,7 +70,10 @@
     environment: dict[str, str] = field(default_factory=dict)
 
     def start(self) -> Start:
-        """Starts the sender, and kills it once it is ready. Raises SystemExit if it does not become ready."""
+        """Starts the sender, and kills it once it is ready.
+
+        Raises SystemExit if the sender ends, or is not ready within START_TIMEOUT_S.
+        """
         began = time.perf_counter()
         # All variants start from cached byte code, as an installed sender does.
         inherited = {name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"}
@@ -99,7 +102,7 @@
 
 
 def is_ready(port: int) -> bool:
-    """Returns whether the sender at the port accepts messages."""
+    """Returns whether the sender at the port reports that it is ready."""
     connection = HTTPConnection("127.0.0.1", port, timeout=1)
     try:
         connection.request("GET", "/health/ready")
@@ -146,7 +149,7 @@
 
 
 def start_each(folder: Path, base: Path | None) -> dict[str, Start]:
-    """Starts each variant once, in a folder of its own below the folder."""
+    """Starts each variant once, in its own subfolder of `folder`."""
     names = [SERVE, PLATFORM, *([PLATFORM_AT_BASE] if base else [])]
     found: dict[str, Start] = {}
     for name in names:
@@ -172,15 +175,18 @@
 def figures_of(starts: list[Start]) -> dict[str, object]:
     """Returns the figures of one variant."""
     return {
-        "seconds": [round(one.seconds, 4) for one in starts],
-        "mib": [round(one.mib, 2) for one in starts],
-        "median_seconds": round(median(one.seconds for one in starts), 4),
-        "median_mib": round(median(one.mib for one in starts), 2),
+        "seconds": [round(start.seconds, 4) for start in starts],
+        "mib": [round(start.mib, 2) for start in starts],
+        "median_seconds": round(median(start.seconds for start in starts), 4),
+        "median_mib": round(median(start.mib for start in starts), 2),
     }
 
 
 def ratios(rows: list[dict[str, Start]]) -> dict[str, dict[str, float]]:
-    """Compares each variant with `python -m ashpath`, by the printed medians."""
+    """Compares the rounded medians of each variant with those of `python -m ashpath`.
+
+    Returns the ratio of the times and the difference of the memory in MiB, by variant.
+    """
     seconds = {name: round(median(row[name].seconds for row in rows), 4) for name in rows[0]}
     mib = {name: round(median(row[name].mib for row in rows), 2) for name in rows[0]}
     return {
@@ -194,7 +200,7 @@
 
 
 def main() -> None:
-    """Measures and stores the figures."""
+    """Measures, prints and stores the figures."""
     runs = int(sys.argv[1]) if len(sys.argv) > 1 else RUNS
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
--- a/benchmarks/upgrade_surroundings.py
+++ b/benchmarks/upgrade_surroundings.py
@@ -1,4 +1,4 @@
-"""The destinations, the agent and the clients of `benchmarks.upgrade`, and their observations."""
+"""The destinations, the platform's agent and the clients of `benchmarks.upgrade`, and their observations."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from ashpath.server.limits import ServerLimits
 
 NUMBER_OF_DESTINATIONS = 6
-CLIENT_PAUSE_S = 0.02  # between two requests of a client
+CLIENT_PAUSE_S = 0.02  # mean pause between two requests of a client
 DEDUPLICATION_WINDOW_S = 5.0
 RETRY_AFTER_S = 0.5
 RETRY_AFTER_SHARE = 0.03  # of calls
-RETRY_AFTER_SLACK_S = 0.1
+RETRY_AFTER_SLACK_S = 0.1  # calls that arrive earlier may have been sent before Retry-After was received
 DEDUPLICATED_CLASS = "result"
 IDEMPOTENT_CLASS = "status"
-FIRST_PIECE = 60  # bytes of the first piece of a request that is sent in two
+FIRST_PIECE = 60  # bytes of the first piece of a request that is sent in two pieces
 LIMITS = {"sockets": 512, "disk_mb": 3}
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -67,21 +67,21 @@
         self.accepted: dict[str, str] = {}  # traffic classes of messages whose response was 202, by id
         self.first_run_at: dict[str, float] = {}  # by id
         self.notified: set[str] = set()
-        self.longest_gap_s = 0.0
-        self.signal = signal.SIGTERM  # the signal that ended the last process, or ends it now
-        self._latest_answer_at = time.monotonic()
+        self.longest_gap_s = 0.0  # between two responses to clients
+        self.signal = signal.SIGTERM  # the signal of the latest upgrade, which ends the old process
+        self._latest_response_at = time.monotonic()
 
     def record_response(self, message_id: str, traffic_class: str, status: int) -> None:
         """Records a response to a client."""
         now = time.monotonic()
-        self.longest_gap_s = max(self.longest_gap_s, now - self._latest_answer_at)
-        self._latest_answer_at = now
+        self.longest_gap_s = max(self.longest_gap_s, now - self._latest_response_at)
+        self._latest_response_at = now
         self.counts[f"answered {status}"] += 1
         if status == 202:
             self.accepted[message_id] = traffic_class
 
     def record_execution(self, message_id: str) -> None:
-        """Records that a destination processed a message."""
+        """Records that a destination executed the call of a message."""
         now = time.monotonic()
         first = self.first_run_at.setdefault(message_id, now)
         deduplicated = self.accepted.get(message_id) == DEDUPLICATED_CLASS
@@ -89,7 +89,7 @@
             self.counts["doubled"] += 1
 
     def lost(self) -> set[str]:
-        """Returns the ids of accepted messages that neither ran nor were notified."""
+        """Returns the ids of accepted messages without an execution and without a notification."""
         return self.accepted.keys() - self.first_run_at.keys() - self.notified
 
 
@@ -224,7 +224,7 @@
             self._connection = None
 
     def _connect(self) -> HttpConnection:
-        """Returns the kept connection if it is still open, otherwise a new one."""
+        """Returns the kept connection if it is still open and requests are not split, otherwise a new one."""
         idle_connection = self._connection
         if idle_connection is not None and not self._in_two_pieces and idle_connection.is_idle():
             return idle_connection
--- a/tests/emulator/fault_injection/test_fault_injection.py
+++ b/tests/emulator/fault_injection/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Each fault that can be injected reaches a real sender, or the caller that connects to the proxy."""
+"""Injected faults reach the system calls of a real sender, or the caller that connects to a proxy."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_each_injected_fault_reaches_sender_that_keeps_serving(world: World) -> None:
-    """One fault of each kind in one process; the sender still starts, and accepts and delivers messages."""
+    """The sender starts, accepts and delivers messages with the faults of EACH_FAULT in its process."""
     faults = [CallFault(call, error, skip=skip, count=1) for call, error, skip in EACH_FAULT]
     world.faults = ProcessFaults(tuple(faults))
     world.start()
@@ -70,8 +70,8 @@
 def test_schedule_counts_only_calls_within_its_interval() -> None:
     fault = CallFault(FaultyCall.WRITE, "EIO", begin_s=1.0, end_s=2.0, skip=1, count=2)
     counter = FaultCounter(ProcessFaults((fault,)))
-    at = [0.5, 1.0, 1.1, 1.2, 1.3, 2.0]
-    assert [counter.next_error(FaultyCall.WRITE, moment) for moment in at] == [
+    times_s = [0.5, 1.0, 1.1, 1.2, 1.3, 2.0]
+    assert [counter.next_error(FaultyCall.WRITE, time_s) for time_s in times_s] == [
         None,
         None,
         "EIO",
@@ -107,7 +107,7 @@
     ],
 )
 def test_proxy_mode_decides_what_caller_receives(mode: ProxyMode, received: bytes | None) -> None:
-    """`received` is None where the caller receives no byte and no end of the connection."""
+    """`received` is None if the caller receives neither a byte nor the end of the connection."""
     target = StreamServer(("127.0.0.1", 0), answer)
     target.start()
     proxy = FaultProxy(address_of(target), late_s=0.05)
--- a/tests/emulator/loopback/test_replay.py
+++ b/tests/emulator/loopback/test_replay.py
@@ -1,7 +1,8 @@
-"""The replay of a run on loopback attributes calls around the kill of a sender.
+"""The replay of a loopback run applies the rule `lost` to calls around the kill of a sender.
 
-Failure: a sender is killed after its write and before the response, so that two senders or incarnations may
-send one message, and permitted behaviour counts as a violation of the rule `lost`. The cases: kills.txt.
+Failure: a sender is killed before it responds to a submission that it has read, or before it reads the
+response of a destination. Two senders, or two incarnations of one, may then send the same message, and the
+replay counts this permitted behaviour as a violation. kills.txt contains the cases.
 """
 
 from __future__ import annotations
@@ -27,11 +28,12 @@
 from ashpath.emulator.scoreboard import DeliveryValue, Scoreboard
 from ashpath.emulator.topology import Topology
 
-CREATED_AT = 900_000
+CREATED_AT = 900_000  # microseconds
 CASES = [row for row in Path(__file__).with_name("kills.txt").read_text().splitlines() if row[0] != "#"]
 
 
 def observation(row: str, id_: str, endpoint: str) -> Observation:
+    """Returns the observation that a row of kills.txt describes. Times in the row are in milliseconds."""
     words = row.split()
     at = int(words[0]) * 1000
     sender = int(words[2]) if len(words) > 2 else 0
--- a/tests/emulator/scenario/test_scenario_loading.py
+++ b/tests/emulator/scenario/test_scenario_loading.py
@@ -1,4 +1,4 @@
-"""Faults that the validation of a scenario file reports."""
+"""Errors that the validation of a scenario file reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ashpath.emulator.scenario.conditions import FaultCondition, parse_condition
 from ashpath.emulator.scenario.loading import read_scenario
 
-# A text of a scenario file, its replacement, and the expected fault.
+# A text of a scenario file, its replacement (`|` stands for a line break), and the expected error.
 INVALID_SCENARIOS = """
     share = 5          ~ share = -1             ~ partners.bank.share: found -1
     count = 3          ~ count = 0              ~ partners.bank.count: found 0
--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -63,6 +63,7 @@
 
 
 def play_batch(scenario: Scenario, names: tuple[str, ...]) -> None:
+    """Plays the named events in one batch, in their order, and then runs the scenario for 6 s."""
     a = scenario.messages[scenario.ids["a"]]
     b = scenario.messages[scenario.ids["b"]]
     scenario.policy.begin_batch(scenario.now)
--- a/tests/server/control/test_connection_table.py
+++ b/tests/server/control/test_connection_table.py
@@ -1,4 +1,4 @@
-"""Eviction of connections at the control address."""
+"""The table of connections at the control address, and the eviction of connections from the table."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 @pytest.fixture
 def pairs() -> Iterator[list[Pair]]:
     """Yields connections as pairs of sockets: the sender's end, and the operator's."""
-    made = [socket.socketpair() for _ in range(3)]
-    yield made
-    for ours, operators in made:
-        ours.close()
-        operators.close()
+    created = [socket.socketpair() for _ in range(3)]
+    yield created
+    for sender_end, operator_end in created:
+        sender_end.close()
+        operator_end.close()
 
 
 @pytest.fixture
 def table(pairs: list[Pair]) -> ControlConnectionTable:
-    """Returns a full table."""
-    made = ControlConnectionTable(capacity=3)
-    for ours, _ in pairs:
-        assert not made.full
-        made.add(ours)
-    return made
+    """Returns a table that is full with the sender's ends of all pairs."""
+    full_table = ControlConnectionTable(capacity=3)
+    for sender_end, _ in pairs:
+        assert not full_table.full
+        full_table.add(sender_end)
+    return full_table
 
 
 def test_longest_silent_connection_is_evicted(table: ControlConnectionTable, pairs: list[Pair]) -> None:
@@ -47,8 +47,8 @@
     pairs[0][1].sendall(b"PI")
     assert table.evict_silent()
     assert pairs[1][0] not in table.connections
-    for _, operators in (pairs[0], pairs[2]):
-        operators.sendall(b"PI")
+    for _, operator_end in (pairs[0], pairs[2]):
+        operator_end.sendall(b"PI")
     assert not table.evict_silent()
     assert pairs[0][0].recv(100) == b"PIPI"  # no byte was consumed
 
--- a/tests/server/test_adoption.py
+++ b/tests/server/test_adoption.py
@@ -19,7 +19,7 @@
 
 
 class RecordingAdopter:
-    """Records the messages that each call passes, one list per call."""
+    """Records the messages of each call of `adopt`, one list per call."""
 
     def __init__(self) -> None:
         self.calls: list[list[StoredMessage]] = []
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -22,8 +22,8 @@
 
 
 def test_kill_preserves_messages_in_every_state(world: World) -> None:
-    """The sender is killed with an attempt in flight for each kind of traffic class, a message that was
-    never sent, and two messages of one ordering key."""
+    """The sender is killed with an attempt in flight for each kind of traffic class, a message that has
+    already finished, and two messages of one ordering key."""
     world.start()
     for number, traffic_class in enumerate(("free", "tag", "once")):
         world.submit(f"k{number}", traffic_class, "hang 200", number)
@@ -34,7 +34,7 @@
     wait_until(lambda: world.attempt_count("first") == 1)
     assert world.submit("second", "tag", "200", 7, ordering_key="a") == 202
     # Waits until the write-ahead log no longer has the notification of `late`: a kill that cuts off the 204
-    # would cause a second one, which is harmless.
+    # would cause a second notification, which is harmless.
     wait_until(
         lambda: world.notified("late")
         and "late" not in [entry.trace_id for entry in live_messages(world).values()]
@@ -83,9 +83,10 @@
 
 def test_overdue_messages_are_finished_after_a_kill(world: World) -> None:
     """The restart finds a deduplication window and deadlines that have passed, and a notification that was
-    not acknowledged. It makes no attempt."""
+    not acknowledged. The sender makes no attempt."""
     write_ahead_log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
     attempted_at = stored_time() - 20_000_000
+    # The traffic class, the time left in microseconds, and whether an attempt was made.
     cases = [(1, 5_000_000, True), (0, -10, False), (1, -10, True), (0, 9, False)]
     for number, (traffic_class, time_left, was_attempted) in enumerate(cases):
         entry = StoredMessage(
@@ -105,7 +106,7 @@
 
 
 def test_recovering_destination_gets_one_attempt_after_a_restart(world: World) -> None:
-    """Guards a recovering destination against a burst from a sender that restarted during its outage: the
+    """Guards a recovering destination against a burst from a sender that was killed during the outage: the
     outage is restored, and one of five queued messages is attempted at first."""
     address = free_address()  # no server listens on this address yet
     world.members[3]["host_port"] = f"127.0.0.1:{address[1]}"
@@ -132,7 +133,7 @@
 
 def test_startup_waits_for_free_descriptors(world: World) -> None:
     """Guards against a start that fails when descriptors run out for a moment. The first socket is that of
-    the first poll; the listening sockets follow."""
+    the first poll; the next five calls of `socket` fail, among them those for the listening sockets."""
     world.faults = ProcessFaults((CallFault(FaultyCall.SOCKET, "ENFILE", skip=1, count=5),))
     world.start()
     assert world.submit("a", "free", "200", 1) == 202
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -40,7 +40,7 @@
 
 
 def relist_at_answering_address(world: World, endpoint: int) -> None:
-    """Lists an unreachable endpoint at a reachable address, by a reload with another agent."""
+    """Changes the address of an endpoint to a reachable one, and reloads the address of another agent."""
     world.members[endpoint]["host_port"] = world.members[5]["host_port"]
     reload_configuration(world, "configuration read", discovery=address_text(world, 2))
 
@@ -56,8 +56,8 @@
 
 
 def test_settings_switch_delivers_messages_in_every_state(world: World) -> None:
-    """Messages that are queued, in flight, or waiting for a retry at a switch, twice in each direction,
-    have exactly the attempts that their bodies ask for."""
+    """The settings are switched twice in each direction. Messages that are queued, in flight, or waiting for
+    a retry at a switch have exactly the attempts that their bodies ask for."""
     world.members[6]["host_port"] = "127.0.0.1:1"
     world.configure()
     world.start()
@@ -76,11 +76,11 @@
         assert world.submit(f"{way}new", new, "200", 1) == 202
         assert world.submit("old", before[0], "200", 1) == 400
         attempts[f"{way}new"] = 1
-    assert "max_in_flight=64 " in (world.folder / "log").read_text(), "as many as there are connections"
+    assert "max_in_flight=64 " in (world.folder / "log").read_text(), "not capped at the endpoint connections"
     relist_at_answering_address(world, 6)
-    wait_until(lambda: all(world.attempt_count(name) for name in attempts) and not live_messages(world))
+    wait_until(lambda: all(world.attempt_count(trace) for trace in attempts) and not live_messages(world))
     assert not world.notifications
-    assert {name: world.attempt_count(name) for name in attempts} == attempts
+    assert {trace: world.attempt_count(trace) for trace in attempts} == attempts
 
 
 def test_traffic_class_ids_survive_a_kill_after_a_switch(world: World) -> None:
@@ -109,7 +109,7 @@
     assert world.attempt_count("o") == 1
     assert len(world.notifications) == 1
     world.kill(signal.SIGTERM)
-    world.start()  # without live messages ids are assigned anew
+    world.start()  # without live messages, ids are assigned anew
     assert not TrafficClassIds(state).read()
     assert world.submit("x", "label", "200", 3) == 202
     wait_until(lambda: world.attempt_count("x") == 1)
@@ -134,8 +134,8 @@
 def test_invalid_settings_print_one_line_at_reload_and_start(
     world: World, key_path: str, value: object, problem: str
 ) -> None:
-    """The line names the key, and at a start the file too; at a reload the previous settings stay in
-    force."""
+    """The line names the invalid key, and at a start also the file. After a failed reload the previous
+    settings stay in force."""
     world.start()
     table, _, key = key_path.partition(".")
     world.config["settings"] = dict(SETTINGS)
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -41,7 +41,7 @@
 
 
 class RecordingReceiver:
-    """A test double of the policy runner that accepts every message and records the events."""
+    """A test double of the policy runner that records the events. Each submission has `submit_result`."""
 
     def __init__(self) -> None:
         self.messages: dict[int, StoredMessage | None] = {}
@@ -83,7 +83,7 @@
 
 
 class SocketPairConnection(HttpConnection):
-    """A connection over a pair of Unix sockets, which do not support TCP options."""
+    """A connection over one of a pair of Unix sockets, which do not support TCP options."""
 
     def __init__(self, sock: socket.socket) -> None:
         with pytest.MonkeyPatch.context() as patch:
@@ -99,7 +99,7 @@
 
 
 class DeliveryStages:
-    """The stages that run attempts. This object replaces the policy runner, and records the outcomes."""
+    """The stages that run attempts. Replaces the policy runner, and records the outcomes of attempts."""
 
     def __init__(self, world: World) -> None:
         logger = structlog.get_logger()
@@ -112,7 +112,7 @@
         classifier = ResponseClassifier(has_load_reports=True)
         self.runner = AttemptRunner(self.pool, self.registry, classifier, notifier, logger)
         self.outcomes: list[AttemptOutcome] = []
-        self.invalid: set[str] = set()  # trace ids of attempts that `still_valid` denies
+        self.invalid: set[str] = set()  # trace ids of messages for which `still_valid` returns False
 
     def still_valid(self, message: StoredMessage) -> bool:
         return message.trace_id not in self.invalid
