--- a/ashpath/emulator/destination/faults.py
+++ b/ashpath/emulator/destination/faults.py
@@ -1,5 +1,5 @@
 """Faults of a destination. Concurrent faults combine: factors multiply and shares add. A destination
-that is down refuses connections even while it is silent; a silent destination ignores all other faults."""
+that is down refuses connections even while it is silent. A silent destination ignores the other faults."""
 
 from __future__ import annotations
 
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -133,7 +133,7 @@
 
 def test_startup_waits_for_free_descriptors(world: World) -> None:
     """Guards against a start that fails when descriptors run out for a moment. The first socket is that of
-    the first poll; the next five calls of `socket` fail, among them those for the listening sockets."""
+    the first poll; the listening sockets follow, and the next five attempts to create a socket fail."""
     world.faults = ProcessFaults((CallFault(FaultyCall.SOCKET, "ENFILE", skip=1, count=5),))
     world.start()
     assert world.submit("a", "free", "200", 1) == 202
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -62,20 +62,20 @@
     world.configure()
     world.start()
     attempts: dict[str, int] = {}
-    for way, settings in enumerate((SWITCHED, SETTINGS, SWITCHED, SETTINGS)):
-        before, new = (
+    for switch, settings in enumerate((SWITCHED, SETTINGS, SWITCHED, SETTINGS)):
+        old_classes, new_class = (
             (["free", "tag", "once"], "label") if settings is SWITCHED else (["label", "once"], "free")
         )
-        for number, (name, (state, body, base_destination, count)) in enumerate(product(before, STATES)):
+        for number, (name, (state, body, base_destination, count)) in enumerate(product(old_classes, STATES)):
             destination = base_destination if state == "queued" else base_destination + number
-            assert world.submit(f"{way}{state}{name}", name, body, destination) == 202
-            attempts[f"{way}{state}{name}"] = count
+            assert world.submit(f"{switch}{state}{name}", name, body, destination) == 202
+            attempts[f"{switch}{state}{name}"] = count
         in_flight = [trace for trace in attempts if "in flight" in trace]
         wait_until(partial(all_attempted, world, in_flight))
         reload_configuration(world, "settings applied", settings=settings)
-        assert world.submit(f"{way}new", new, "200", 1) == 202
-        assert world.submit("old", before[0], "200", 1) == 400
-        attempts[f"{way}new"] = 1
+        assert world.submit(f"{switch}new", new_class, "200", 1) == 202
+        assert world.submit("old", old_classes[0], "200", 1) == 400
+        attempts[f"{switch}new"] = 1
     assert "max_in_flight=64 " in (world.folder / "log").read_text(), "not capped at the endpoint connections"
     relist_at_answering_address(world, 6)
     wait_until(lambda: all(world.attempt_count(trace) for trace in attempts) and not live_messages(world))
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -41,7 +41,7 @@
 
 
 class RecordingReceiver:
-    """A test double of the policy runner that records the events. Each submission has `submit_result`."""
+    """A test double of the policy runner that records the events. Each submission returns `submit_result`."""
 
     def __init__(self) -> None:
         self.messages: dict[int, StoredMessage | None] = {}
@@ -99,7 +99,7 @@
 
 
 class DeliveryStages:
-    """The stages that run attempts. Replaces the policy runner, and records the outcomes of attempts."""
+    """The stages that run attempts, and a test double of the policy runner that records their outcomes."""
 
     def __init__(self, world: World) -> None:
         logger = structlog.get_logger()
