--- a/ashpath/emulator/destination/server.py
+++ b/ashpath/emulator/destination/server.py
@@ -153,7 +153,7 @@
     def _respond(self, connection: HttpConnection, call: DestinationCall) -> bool:
         """Writes the response or resets the connection, as the model determines.
 
-        Returns False if the destination is unresponsive and the caller disconnects.
+        Returns False if the caller disconnects first.
         """
         if call.result in (CallResult.RESET, CallResult.REFUSED) or self._model.faults.down:
             connection.unusable = True
@@ -162,6 +162,8 @@
         if self._model.is_unresponsive(self._clock.now()):
             return not _caller_disconnects(connection, NEVER)
         gevent.sleep(self._latency() / SECOND)
+        if connection.closed_by_peer():
+            return False
         connection.write(_encode_response(call))
         return True
 
@@ -175,12 +177,13 @@
 def _caller_disconnects(connection: HttpConnection, within: int) -> bool:
     """Returns whether the caller disconnects or sends more bytes within that many microseconds.
 
-    Waits without a timeout for NEVER.
+    Waits without a timeout for NEVER. After a pause of this process, the timeout may come before the caller's
+    disconnect is read.
     """
     with suppress(Timeout), Timeout(None if within >= NEVER else within / SECOND):
         connection.receive()
         return True
-    return False
+    return connection.closed_by_peer()
 
 
 def _encode_response(call: DestinationCall) -> bytes:
--- a/ashpath/emulator/loopback/faults.py
+++ b/ashpath/emulator/loopback/faults.py
@@ -77,8 +77,9 @@
                 self._add_fault(number, Fault(fault.kind), fault)
         elif fault.kind == "kill":
             for number in self._topology.senders_of(fault, self._scenario.fleet.senders, self._random):
-                self._log.add(SenderKilled(self._clock.now(), number))
+                began_at = self._clock.now()
                 self._senders.kill(number)
+                self._log.add(SenderKilled(began_at, number, self._clock.now()))
                 gevent.spawn_later(int(fault.duration) / SECOND, self._senders.start, number)
 
     def _add_fault(self, number: int, fault: Fault, scripted: ScriptedFault) -> None:
--- a/ashpath/emulator/loopback/observations.py
+++ b/ashpath/emulator/loopback/observations.py
@@ -49,10 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderKilled:
-    """A sender was killed."""
+    """A sender was killed at some time from `at`, before the signal, to `ended_at`, when it had exited."""
 
     at: int
     sender: int
+    ended_at: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/ashpath/emulator/loopback/replay.py
+++ b/ashpath/emulator/loopback/replay.py
@@ -31,7 +31,11 @@
 def checker_for_sockets(settings: PolicySettings, watched: str) -> InvariantChecker:
     """Returns an invariant checker with tolerances for sockets and clocks; `watched`: a message to trace."""
     return InvariantChecker(
-        settings.drain_grace + SLACK, settings.settle_time - SLACK, watched, retry_after_slack=2 * SLACK
+        settings.drain_grace + SLACK,
+        settings.settle_time - SLACK,
+        watched,
+        retry_after_slack=2 * SLACK,
+        keeps_ended=True,
     )
 
 
@@ -72,7 +76,7 @@
         self._accepted: dict[str, AcceptedMessage] = {}
         self._ended_requests: set[str] = set()
         self._unanswered: dict[str, list[UnansweredSubmission]] = {}
-        self._kills: dict[int, list[int]] = {}  # times by sender
+        self._kills: dict[int, list[SenderKilled]] = {}  # by sender
         self._delivered_at: dict[str, int] = {}
 
     def run(self, observations: list[Observation], now: int) -> None:
@@ -94,8 +98,8 @@
                 self._call_arrived(observation)
             case CallEnded():
                 self._call_ended(observation)
-            case SenderKilled(at, sender):
-                self._kills.setdefault(sender, []).append(at)
+            case SenderKilled(sender=sender):
+                self._kills.setdefault(sender, []).append(observation)
             case OutageBegan(at, destination):
                 self._checker.outage_began(at, destination)
 
@@ -195,10 +199,10 @@
         delivered_at = self._delivered_at.get(message_id)
         if delivered_at is not None:
             kills = self._kills.get(message.sender, ())
-            if any(-SLACK < kill - delivered_at < SLACK for kill in kills):
+            if any(kill.at - SLACK < delivered_at < kill.ended_at + SLACK for kill in kills):
                 return True
         return any(
-            -SLACK < kill - submission.at < SUBMISSION_TIMEOUT
+            kill.at - SUBMISSION_TIMEOUT < submission.at < kill.ended_at + SLACK
             for submission in self._unanswered.get(message_id, ())
             for kill in self._kills.get(submission.sender, ())
         )
