--- a/ashpath/emulator/loopback/faults.py
+++ b/ashpath/emulator/loopback/faults.py
@@ -79,7 +79,8 @@
             for number in self._topology.senders_of(fault, self._scenario.fleet.senders, self._random):
                 self._log.add(SenderKilled(self._clock.now(), number))
                 self._senders.kill(number)
-                gevent.spawn_later(int(fault.duration) / SECOND, self._senders.start, number)
+                if fault.duration:
+                    gevent.spawn_later(int(fault.duration) / SECOND, self._senders.start, number)
 
     def _add_fault(self, number: int, fault: Fault, scripted: ScriptedFault) -> None:
         destination = self._topology.destinations[number]
--- a/ashpath/emulator/simulation/run.py
+++ b/ashpath/emulator/simulation/run.py
@@ -51,12 +51,12 @@
         self._topology = Topology(scenario, scenario_folder, seed)
         self._arrivals = Arrivals(scenario, self._topology.cumulative_shares, seed)
         self.network = self._make_network()
-        self._fleet = Fleet(self._events, scenario.fleet)
+        self.fleet = Fleet(self._events, scenario.fleet)
         self._clients = self._make_clients()
         random = Random(f"{seed} world")  # draws discovery delays first, then targets of faults as they begin
         delays = [draw_discovery_delay(scenario.discovery, random) for _ in range(scenario.fleet.senders)]
         self._start_senders(policy_factory)
-        self._schedule_faults(SimulatedDiscovery(self._events, self.network, self._fleet, delays), random)
+        self._schedule_faults(SimulatedDiscovery(self._events, self.network, self.fleet, delays), random)
 
     def _make_network(self) -> Network:
         return Network(
@@ -79,7 +79,7 @@
             self._arrivals,
             settings.traffic_classes,
             value,
-            self._fleet,
+            self.fleet,
             self.scoreboard,
             self._seed,
         )
@@ -97,8 +97,8 @@
             self.scoreboard,
         )
         for number in range(self._scenario.fleet.senders):
-            self._fleet.add(SimulatedSender(context, number))
-        for sender in self._fleet.senders:
+            self.fleet.add(SimulatedSender(context, number))
+        for sender in self.fleet.senders:
             sender.start_with_endpoints(self._topology.endpoints)
 
     def _schedule_faults(self, discovery: SimulatedDiscovery, random: Random) -> None:
@@ -107,7 +107,7 @@
             self._topology,
             random,
             self.network,
-            self._fleet,
+            self.fleet,
             discovery,
             self._arrivals,
             self.checker,
--- a/tests/emulator/simulation/test_simulation_run.py
+++ b/tests/emulator/simulation/test_simulation_run.py
@@ -1,4 +1,6 @@
-"""Simulations with defective policies: the checker detects each broken rule, and a stalled run ends."""
+"""Simulations with defective policies: the checker detects each broken rule, and a stalled run ends. Scripted
+kills of senders.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +15,13 @@
     UnreportedFailurePolicy,
 )
 
+from ashpath.config.units import Duration
 from ashpath.core.interface import PolicyActions, PolicySettings
 from ashpath.emulator.errors import SimulationStalledError
 from ashpath.emulator.policy_under_test import GlobalView, PolicyUnderTest
 from ashpath.emulator.runs import scenario_path
 from ashpath.emulator.scenario.loading import read_scenario
+from ashpath.emulator.scenario.schema import ScriptedFault
 from ashpath.emulator.scoreboard import Scoreboard
 from ashpath.emulator.simulation.run import Simulation
 from ashpath.policy.delivery_policy import DeliveryPolicy
@@ -32,12 +36,17 @@
 ]
 
 
-def run(name: str, policy: type[DeliveryPolicy]) -> Simulation:
+def run(
+    name: str, policy: type[DeliveryPolicy] = DeliveryPolicy, faults: list[ScriptedFault] | None = None
+) -> Simulation:
+    """Runs a scenario with seed 1; `faults` replaces its script."""
+
     def factory(settings: PolicySettings, actions: PolicyActions, view: GlobalView, /) -> PolicyUnderTest:
         return policy(settings, actions)
 
     path = scenario_path(name)
     scenario = read_scenario(path)
+    scenario.faults = scenario.faults if faults is None else faults
     scoreboard = Scoreboard(list(scenario.traffic_classes), keeps_mode_changes=True)
     simulation = Simulation(scenario, path.parent, 1, factory, scoreboard)
     simulation.run()
@@ -57,3 +66,10 @@
     """A policy that schedules each timer again for the current time must not make a run endless."""
     with pytest.raises(SimulationStalledError):
         run("calm", TimerRepeatingPolicy)
+
+
+@pytest.mark.parametrize(("duration", "alive"), [(Duration(0), False), (Duration(1_000_000), True)])
+def test_killed_sender_restarts_only_after_a_duration(duration: Duration, alive: bool) -> None:
+    fault = ScriptedFault("kill", at=Duration(1_000_000), duration=duration, targets=["sender/0"])
+    simulation = run("kills", faults=[fault])
+    assert [sender.alive for sender in simulation.fleet.senders] == [alive, True, True]
