--- a/ashpath/config/platform_form.py
+++ b/ashpath/config/platform_form.py
@@ -29,7 +29,7 @@
     Specifics,
     TrafficClassRow,
 )
-from ashpath.core.time_units import milliseconds
+from ashpath.core.time_units import SECOND, milliseconds
 
 FILE_RETRY_SAFETY_NAMES = {
     RetrySafety.IDEMPOTENT: "repeatable",
@@ -40,7 +40,6 @@
     FILE_RETRY_SAFETY_NAMES[retry_safety]: name for name, retry_safety in RETRY_SAFETY.items()
 }
 NOTIFICATION_PATH = "/v1/notices"  # on the platform's address
-MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def platform_form(configuration: Configuration, seed: str) -> JsonObject:
@@ -137,10 +136,10 @@
     own = {
         "body_bytes": int(limits.body),
         "head_bytes": int(limits.head),
-        "request_s": limits.request_timeout / MICROSECONDS_PER_SECOND,
-        "client_idle_s": limits.client_idle_timeout / MICROSECONDS_PER_SECOND,
+        "request_s": limits.request_timeout / SECOND,
+        "client_idle_s": limits.client_idle_timeout / SECOND,
         "outcome_store_bytes": int(configuration.outcomes.max_bytes),
-        "outcome_retention_s": configuration.outcomes.retention / MICROSECONDS_PER_SECOND,
+        "outcome_retention_s": configuration.outcomes.retention / SECOND,
         "notification_file_bytes": int(configuration.notifications.max_file_size),
         "notification_files": configuration.notifications.kept_files,
     }
--- a/ashpath/core/statistics.py
+++ b/ashpath/core/statistics.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-SECOND = 1_000_000
+from ashpath.core.time_units import SECOND
 
 
 class RunningStatistics(Struct, eq=False):
--- a/ashpath/core/time_units.py
+++ b/ashpath/core/time_units.py
@@ -1,7 +1,10 @@
-"""Conversion between milliseconds, as in settings and on the wire, and integer microseconds elsewhere."""
+"""Units of time in integer microseconds, and conversion of milliseconds, as in settings and on the wire."""
 
 from __future__ import annotations
 
+MILLISECOND = 1_000  # microseconds
+SECOND = 1_000_000  # microseconds
+
 
 def microseconds(milliseconds: float | None) -> int:
     """Returns integer microseconds; 0 for None.
@@ -9,7 +12,7 @@
     >>> microseconds(8412.25), microseconds(0.0005), microseconds(None)
     (8412250, 0, 0)
     """
-    return round(milliseconds * 1000) if milliseconds else 0
+    return round(milliseconds * MILLISECOND) if milliseconds else 0
 
 
 def milliseconds(microseconds: int) -> float:
@@ -18,4 +21,4 @@
     >>> milliseconds(8412250)
     8412.25
     """
-    return microseconds / 1000
+    return microseconds / MILLISECOND
--- a/ashpath/core/token_bucket.py
+++ b/ashpath/core/token_bucket.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 
 
 class TokenBucket(Struct, eq=False):
--- a/ashpath/emulator/arrivals.py
+++ b/ashpath/emulator/arrivals.py
@@ -7,9 +7,9 @@
 from random import Random
 from typing import NamedTuple
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.scenario.schema import Scenario, Span
 from ashpath.emulator.scenario.settings import simulated_length, simulated_span_length
-from ashpath.emulator.units import SECOND
 
 
 class Arrival(NamedTuple):
--- a/ashpath/emulator/baselines/limits.py
+++ b/ashpath/emulator/baselines/limits.py
@@ -5,10 +5,10 @@
 from random import Random
 
 from ashpath.core.interface import AttemptOutcome, PolicyActions, PolicySettings
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.baselines.skeleton import Baseline
 from ashpath.emulator.baselines.state import DestinationState
 from ashpath.emulator.policy_under_test import GlobalView
-from ashpath.emulator.units import SECOND
 
 # Times are in microseconds.
 MIN_BACKOFF = SECOND // 10
--- a/ashpath/emulator/baselines/oracle.py
+++ b/ashpath/emulator/baselines/oracle.py
@@ -5,11 +5,11 @@
 from itertools import islice
 
 from ashpath.core.interface import PolicyActions, PolicySettings
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.baselines.skeleton import Baseline
 from ashpath.emulator.baselines.state import DestinationState, QueuedMessage
 from ashpath.emulator.destination.model import DestinationModel
 from ashpath.emulator.policy_under_test import GlobalView
-from ashpath.emulator.units import SECOND
 
 OUTAGE_POLL = SECOND // 10  # microseconds between checks of an unreachable destination
 BUSY_POLL = SECOND // 40  # microseconds between checks of a destination without free capacity
--- a/ashpath/emulator/baselines/skeleton.py
+++ b/ashpath/emulator/baselines/skeleton.py
@@ -18,9 +18,9 @@
     PreviousAttempts,
     RetrySafety,
 )
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.baselines.state import Attempt, DestinationState, QueuedMessage
 from ashpath.emulator.policy_under_test import NOT_RUN_OUTCOMES, GlobalView
-from ashpath.emulator.units import SECOND
 
 # Times are in microseconds.
 ATTEMPT_TIMEOUT = 4 * SECOND
--- a/ashpath/emulator/demo/destinations.py
+++ b/ashpath/emulator/demo/destinations.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.model import DestinationModel
 from ashpath.emulator.destination.properties import DestinationProperties
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.run_clock import RunClock
-from ashpath.emulator.units import SECOND
 from ashpath.server.limits import ServerLimits
 
 SLOW_START_SHARE = 1 / 4  # share of the time of arrivals
--- a/ashpath/emulator/demo/run.py
+++ b/ashpath/emulator/demo/run.py
@@ -12,6 +12,7 @@
 import gevent
 
 from ashpath.core.json_types import JsonObject
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.demo.clients import DemoClients
 from ashpath.emulator.demo.destinations import DemoDestination, plan_destinations, start_destination
 from ashpath.emulator.demo.sender_file import sender_file
@@ -20,7 +21,6 @@
 from ashpath.emulator.run_clock import RunClock
 from ashpath.emulator.sender_process import SenderProcess
 from ashpath.emulator.stand_ins import LOOPBACK, free_port, stand_in_limits
-from ashpath.emulator.units import SECOND
 
 RATE = 40.0  # messages a second
 FINAL_WAIT_S = 14.0  # after the last message, for final outcomes; longer than the longest deadline
--- a/ashpath/emulator/destination/model.py
+++ b/ashpath/emulator/destination/model.py
@@ -16,11 +16,12 @@
 from heapq import heapreplace
 from random import Random
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.calls import CallResult, DestinationCall, RequestTally
 from ashpath.emulator.destination.faults import ActiveFaults, Fault
 from ashpath.emulator.destination.properties import DestinationProperties
 from ashpath.emulator.destination.rate_limit import DestinationRateLimit
-from ashpath.emulator.units import NEVER, SECOND
+from ashpath.emulator.units import NEVER
 
 ERROR_RESPONSE_TIME = 1000  # microseconds to the response of a call that fails before its effect
 
--- a/ashpath/emulator/destination/properties.py
+++ b/ashpath/emulator/destination/properties.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ashpath.emulator.units import SECOND
+from ashpath.core.time_units import SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/ashpath/emulator/destination/rate_limit.py
+++ b/ashpath/emulator/destination/rate_limit.py
@@ -5,9 +5,9 @@
 from collections import deque
 from random import Random
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.faults import ActiveFaults
 from ashpath.emulator.destination.properties import DestinationProperties
-from ashpath.emulator.units import SECOND
 
 
 class DestinationRateLimit:
--- a/ashpath/emulator/destination/server.py
+++ b/ashpath/emulator/destination/server.py
@@ -14,11 +14,12 @@
 from gevent import Timeout, socket
 from gevent.server import StreamServer
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.calls import CallResult, DestinationCall
 from ashpath.emulator.destination.model import DestinationModel
 from ashpath.emulator.run_clock import RunClock
 from ashpath.emulator.stand_ins import LOOPBACK
-from ashpath.emulator.units import NEVER, SECOND
+from ashpath.emulator.units import NEVER
 from ashpath.server import wire_names
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
--- a/ashpath/emulator/loopback/client_process.py
+++ b/ashpath/emulator/loopback/client_process.py
@@ -16,6 +16,7 @@
 import gevent
 import msgspec
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.errors import NotSentError, UnansweredError
 from ashpath.emulator.final_outcomes import FinalOutcome
 from ashpath.emulator.http_client import HttpClient
@@ -29,7 +30,6 @@
 from ashpath.emulator.notice_receiver import Notice, NoticeReceiver
 from ashpath.emulator.run_clock import RunClock
 from ashpath.emulator.stand_ins import stand_in_limits
-from ashpath.emulator.units import SECOND
 from ashpath.server import wire_names
 from ashpath.server.http.messages import HttpResponse
 
--- a/ashpath/emulator/loopback/clients_runner.py
+++ b/ashpath/emulator/loopback/clients_runner.py
@@ -9,12 +9,12 @@
 import msgspec
 from gevent import subprocess
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.arrivals import Arrivals
 from ashpath.emulator.client_request import ClientRequest
 from ashpath.emulator.loopback.clients_job import ClientEvent, ClientsJob, PlannedRequest
 from ashpath.emulator.loopback.observations import ObservationLog
 from ashpath.emulator.scenario.schema import Scenario, ScriptedFault
-from ashpath.emulator.units import SECOND
 
 QUIET_SPAN_STEP = SECOND // 10
 FINAL_EVENTS_TIMEOUT_S = 3.0
--- a/ashpath/emulator/loopback/faults.py
+++ b/ashpath/emulator/loopback/faults.py
@@ -7,6 +7,7 @@
 import gevent
 
 from ashpath.core.interface import EndpointRecord, EndpointStatus
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.faults import OUTAGE_FAULTS, Fault
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.errors import UnsupportedFaultError
@@ -17,7 +18,6 @@
 from ashpath.emulator.scenario.schema import DESTINATION_FAULTS, Scenario, ScriptedFault
 from ashpath.emulator.scoreboard import Scoreboard
 from ashpath.emulator.topology import Topology, successor_name
-from ashpath.emulator.units import SECOND
 
 SIMULATION_ONLY = ("network", "split", "clock", "directory")
 TRAFFIC = "traffic"  # planned into the requests before the run
--- a/ashpath/emulator/loopback/replay.py
+++ b/ashpath/emulator/loopback/replay.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from ashpath.core.interface import AttemptOutcome, PolicySettings, RetrySafety
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.client_request import ClientRequest
 from ashpath.emulator.effects import check_effects
 from ashpath.emulator.final_outcomes import FinalOutcome
@@ -20,7 +21,6 @@
 )
 from ashpath.emulator.scoreboard import DeliveryValue, Scoreboard
 from ashpath.emulator.topology import Topology
-from ashpath.emulator.units import SECOND
 
 SLACK = 50_000  # microseconds that the checker allows for differences of clocks and the transit of a call
 DEADLINE_SLACK = 6 * SLACK
--- a/ashpath/emulator/loopback/run.py
+++ b/ashpath/emulator/loopback/run.py
@@ -15,6 +15,7 @@
 import gevent
 
 from ashpath.core.interface import EndpointRecord
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.arrivals import Arrivals
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.loopback.clients_job import ClientsJob, PlannedRequest
@@ -30,7 +31,6 @@
 from ashpath.emulator.scoreboard import DeliveryValue, Scoreboard
 from ashpath.emulator.stand_ins import free_port, stand_in_limits
 from ashpath.emulator.topology import Topology
-from ashpath.emulator.units import SECOND
 
 DESCRIPTORS = 8192
 REQUEST_TIMEOUT_S = 600.0
--- a/ashpath/emulator/scenario/loading.py
+++ b/ashpath/emulator/scenario/loading.py
@@ -7,10 +7,10 @@
 from ashpath.config.constraints import time_conflicts
 from ashpath.config.faults import ConfigurationFault
 from ashpath.config.loading import read_and_validate
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.scenario.conditions import SIGNALS, parse_condition
 from ashpath.emulator.scenario.schema import DESTINATION_FAULTS, Scenario, ScriptedFault
 from ashpath.emulator.scenario.settings import sender_configuration, simulated_length
-from ashpath.emulator.units import SECOND
 
 
 def read_scenario(path: Path) -> Scenario:
--- a/ashpath/emulator/scoreboard.py
+++ b/ashpath/emulator/scoreboard.py
@@ -14,12 +14,12 @@
 
 from ashpath.core.interface import AttemptOutcome, TrafficClassSettings
 from ashpath.core.json_types import JsonObject
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.client_request import ClientRequest
 from ashpath.emulator.final_outcomes import FinalOutcome
 from ashpath.emulator.invariant_checker import InvariantChecker
 from ashpath.emulator.scenario.schema import Span
 from ashpath.emulator.scenario.settings import span_weight
-from ashpath.emulator.units import SECOND
 
 WINDOW = 10 * SECOND  # microseconds
 MAX_MODE_CHANGES = 400  # changes that are kept; further ones are only counted
--- a/ashpath/emulator/simulation/clients.py
+++ b/ashpath/emulator/simulation/clients.py
@@ -6,6 +6,7 @@
 from random import Random
 
 from ashpath.core.interface import TrafficClassSettings
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.arrivals import Arrivals
 from ashpath.emulator.client_request import ClientRequest
 from ashpath.emulator.final_outcomes import FinalOutcome
@@ -13,7 +14,6 @@
 from ashpath.emulator.scoreboard import DeliveryValue, Scoreboard
 from ashpath.emulator.simulation.event_queue import EventQueue
 from ashpath.emulator.simulation.fleet import Fleet
-from ashpath.emulator.units import SECOND
 
 DEAD_SENDER_RETRY_DELAY = SECOND // 10  # microseconds
 IDLE_SPAN_POLL = SECOND // 10  # microseconds between checks of the span's rate while the rate is zero
--- a/ashpath/emulator/simulation/event_queue.py
+++ b/ashpath/emulator/simulation/event_queue.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.errors import SimulationStalledError
-from ashpath.emulator.units import SECOND
 
 MAX_EVENTS_AT_ONE_TIME = 500_000
 
--- a/ashpath/emulator/simulation/faults.py
+++ b/ashpath/emulator/simulation/faults.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
+from ashpath.core.time_units import MILLISECOND, SECOND
 from ashpath.emulator.arrivals import Arrivals
 from ashpath.emulator.destination.faults import OUTAGE_FAULTS, Fault
 from ashpath.emulator.invariant_checker import InvariantChecker
@@ -16,10 +17,8 @@
 from ashpath.emulator.simulation.fleet import Fleet
 from ashpath.emulator.simulation.network import Network
 from ashpath.emulator.topology import Topology
-from ashpath.emulator.units import SECOND
 
 CONDITION_POLL = SECOND // 10  # microseconds between two checks of a condition
-MILLISECOND = 1000  # microseconds
 
 Undo = Callable[[], None]
 """Reverts a fault."""
--- a/ashpath/emulator/simulation/idle_connections.py
+++ b/ashpath/emulator/simulation/idle_connections.py
@@ -5,8 +5,8 @@
 from collections import deque
 from typing import Protocol
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.simulation.event_queue import EventQueue
-from ashpath.emulator.units import SECOND
 
 IDLE_MARGIN = SECOND // 5
 """Microseconds before the endpoint closes an idle connection at which the sender no longer uses it."""
--- a/ashpath/emulator/simulation/run.py
+++ b/ashpath/emulator/simulation/run.py
@@ -8,6 +8,7 @@
 from pathlib import Path
 from random import Random
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.arrivals import Arrivals
 from ashpath.emulator.effects import check_effects
 from ashpath.emulator.invariant_checker import InvariantChecker
@@ -24,7 +25,6 @@
 from ashpath.emulator.simulation.sender import SimulatedSender
 from ashpath.emulator.simulation.sender_context import SenderContext
 from ashpath.emulator.topology import Topology
-from ashpath.emulator.units import SECOND
 
 MAX_TIME_AFTER_DEADLINE = 10 * SECOND
 """Microseconds for which a run may continue after the last deadline."""
--- a/ashpath/emulator/units.py
+++ b/ashpath/emulator/units.py
@@ -1,5 +1,4 @@
-"""Units of the emulator's clocks, simulated or real: integer microseconds."""
+"""Times of the emulator's clocks, simulated or real, in integer microseconds."""
 
-SECOND = 1_000_000
 NEVER = 1 << 62
 """A time or a duration that no run reaches."""
--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -14,7 +14,8 @@
 from ashpath.core.lifecycle import MessageState, transition
 from ashpath.core.messages import Attempt, Endpoint, FirstRun, Message, TrafficClass
 from ashpath.core.policy_engine import PolicyEngine
-from ashpath.core.statistics import SECOND, EventRate, RunningStatistics
+from ashpath.core.statistics import EventRate, RunningStatistics
+from ashpath.core.time_units import SECOND
 from ashpath.core.timers import POLL_TIMER, RANKING_TIMER
 from ashpath.policy import retries, tuning
 from ashpath.policy.destination import Destination, cancel_overdue_attempt
--- a/ashpath/policy/outage.py
+++ b/ashpath/policy/outage.py
@@ -4,7 +4,8 @@
 
 from ashpath.core.messages import DISTANT_PAST_US
 from ashpath.core.outage_state import OutageState
-from ashpath.core.statistics import SECOND, EventRate
+from ashpath.core.statistics import EventRate
+from ashpath.core.time_units import SECOND
 from ashpath.core.token_bucket import TokenBucket
 from ashpath.policy import tuning
 
@@ -56,8 +57,8 @@
             tuning.SMOOTHING_GAIN / 2, initial_share + (1 - initial_share) * warm_up_progress
         )
         expected_rate = self._expected_rate(even_split)
-        # Without an overload multiple the factor is so large that the rate is unbounded in effect.
-        return tuning.SAFETY_FACTOR * (settings.overload_multiple or SECOND) * capacity_share * expected_rate
+        overload_multiple = settings.overload_multiple or tuning.UNBOUNDED_OVERLOAD_MULTIPLE
+        return tuning.SAFETY_FACTOR * overload_multiple * capacity_share * expected_rate
 
     def _expected_rate(self, even_split: float) -> float:
         # Returns this sender's expected calls per second at the destination once it has warmed up.
--- a/ashpath/policy/queues.py
+++ b/ashpath/policy/queues.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ashpath.core.messages import Endpoint, Message, TrafficClass
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 from ashpath.core.waiting_queues import WaitingQueues
 from ashpath.policy import tuning
 
--- a/ashpath/policy/tuning.py
+++ b/ashpath/policy/tuning.py
@@ -4,7 +4,7 @@
 """
 
 from ashpath.core.interface import AttemptOutcome, RetrySafety
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 
 # Gates.
 
@@ -83,6 +83,8 @@
 # Share used of the load that the setting overload_multiple allows at a recovering destination. A larger share
 # leaves no margin; a smaller one slows the recovery down.
 SAFETY_FACTOR = 0.9
+# Stands for a setting overload_multiple that is absent: the rate is unbounded in effect.
+UNBOUNDED_OVERLOAD_MULTIPLE = 1_000_000
 
 # Faults of this machine, such as a full descriptor table: calls pause, longer after each further fault.
 
--- a/ashpath/server/delivery/attempt_runner.py
+++ b/ashpath/server/delivery/attempt_runner.py
@@ -23,6 +23,7 @@
 import gevent
 from gevent import Timeout
 
+from ashpath.core.time_units import SECOND
 from ashpath.server import wire_names
 from ashpath.server.addresses import Address
 from ashpath.server.delivery.attempts import Attempt, AttemptOwner
@@ -56,7 +57,6 @@
 from ashpath.server.timers import now
 
 NOTIFICATION_SHARE = 0.5  # share of an attempt's time for the wait for notifications
-SECOND = 1e6  # microseconds
 
 
 class AttemptRunner:
--- a/ashpath/server/delivery/outcome_recorder.py
+++ b/ashpath/server/delivery/outcome_recorder.py
@@ -14,14 +14,13 @@
 from msgspec import Struct
 
 from ashpath.core.interface import NEVER_RAN, AttemptOutcome
+from ashpath.core.time_units import MILLISECOND
 from ashpath.server.delivery.attempts import AttemptResult
 from ashpath.server.delivery.notifier import Notifier, encode_notification
 from ashpath.server.storage.final_state import FinalState
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
-MILLISECOND = 1000  # microseconds
-
 
 class SubmitDecision(Enum):
     """The policy's decision on a message in the batch of its submission."""
--- a/ashpath/server/delivery/response_classifier.py
+++ b/ashpath/server/delivery/response_classifier.py
@@ -13,6 +13,7 @@
 from __future__ import annotations
 
 from ashpath.core.interface import AttemptOutcome, LoadReport
+from ashpath.core.time_units import SECOND
 from ashpath.server import wire_names
 from ashpath.server.delivery.attempts import Attempt, AttemptResult
 from ashpath.server.delivery.errors import (
@@ -46,7 +47,6 @@
 SERVICE_UNAVAILABLE = 503
 REMAINING_QUOTA_FIELD = b"x0"
 RATE_LIMIT_FIELD = b"x1"
-MICROSECONDS_PER_SECOND = 1e6
 HEADER_NUMBER_LIMIT = 1e6  # this or a larger number in a header counts as invalid
 
 
@@ -78,7 +78,7 @@
         retry_after = 0
         if outcome is AttemptOutcome.OVERLOADED:
             seconds = parse_number(response.headers.get(wire_names.RETRY_AFTER_HEADER)) or 0.0
-            retry_after = round(seconds * MICROSECONDS_PER_SECOND)
+            retry_after = round(seconds * SECOND)
         final = response.status in FINAL_STATUSES
         return AttemptResult(outcome, retry_after, final, self.load_report(response))
 
--- a/ashpath/server/limits.py
+++ b/ashpath/server/limits.py
@@ -13,6 +13,7 @@
 from msgspec.structs import replace
 
 from ashpath.core.interface import PolicySettings
+from ashpath.core.time_units import SECOND
 
 RESERVED_DESCRIPTORS = 48
 """Descriptors for the listener, the write-ahead log, discovery, notifications, the log and the event loop."""
@@ -32,7 +33,6 @@
 IDLE_CLIENT_SHARE = 6
 DISK_BYTES_PER_MB = 970_000  # a megabyte may mean a million bytes, and a file system has overhead
 IDLE_MARGIN_S = 0.2  # how long before the far end the sender closes an idle connection
-MICROSECONDS_PER_SECOND = 1e6
 
 
 class ServerLimits(Struct, frozen=True):
@@ -192,13 +192,13 @@
         numerator, denominator = MAX_ENDPOINT_SHARE
         wanted = max(MIN_ENDPOINT_CONNECTIONS, CONNECTIONS_PER_ATTEMPT * settings.max_in_flight)
         endpoint_connections = min(wanted, free * numerator // denominator)
-        idle_timeout_s = (settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_US) / MICROSECONDS_PER_SECOND
+        idle_timeout_s = (settings.idle_timeout or DEFAULT_IDLE_TIMEOUT_US) / SECOND
         limits = cls(
             client_connections=free - endpoint_connections,
             idle_client_connections=descriptors // IDLE_CLIENT_SHARE,
             endpoint_connections=endpoint_connections,
             disk_bytes=int(float(configured.get("disk_mb") or DEFAULT_DISK_MB) * DISK_BYTES_PER_MB),
             endpoint_idle_s=max(idle_timeout_s - IDLE_MARGIN_S, idle_timeout_s / 2),
-            connect_s=(settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US) / MICROSECONDS_PER_SECOND,
+            connect_s=(settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US) / SECOND,
         )
         return replace(limits, **(configured.get("own") or {}))
--- a/ashpath/server/metrics/counters.py
+++ b/ashpath/server/metrics/counters.py
@@ -7,6 +7,7 @@
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
 from ashpath.core.interface import AttemptOutcome
+from ashpath.core.time_units import SECOND
 
 ATTEMPT_DURATION_BUCKETS_S = (
     0.01,
@@ -21,7 +22,6 @@
     10.0,
     30.0,
 )  # upper bounds of buckets
-MICROSECONDS_PER_SECOND = 1e6
 
 
 class MetricsCounters:
@@ -67,4 +67,4 @@
     def attempt_finished(self, outcome: AttemptOutcome, took_us: int) -> None:
         """Counts an attempt with its outcome, `took_us` microseconds after its start."""
         self.attempts.labels(outcome.value).inc()
-        self.attempt_seconds.labels(outcome.value).observe(took_us / MICROSECONDS_PER_SECOND)
+        self.attempt_seconds.labels(outcome.value).observe(took_us / SECOND)
--- a/ashpath/server/timers.py
+++ b/ashpath/server/timers.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent.event import Event
 
-MICROSECONDS_PER_SECOND = 1_000_000
+from ashpath.core.time_units import SECOND
 
 
 def now() -> int:
@@ -101,4 +101,4 @@
 
     def seconds_to_next(self, moment: int) -> float | None:
         """Returns the seconds until the earliest timer, or None if no timer is pending."""
-        return (self.heap[0].due_at - moment) / MICROSECONDS_PER_SECOND if self.heap else None
+        return (self.heap[0].due_at - moment) / SECOND if self.heap else None
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -16,12 +16,12 @@
 from itertools import product
 from pathlib import Path
 
+from ashpath.core.time_units import SECOND
+
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
 from support.fleet import CUSTOMERS, Fleet
 
-from ashpath.core.statistics import SECOND
-
 CAPACITIES = (3.0, 6.0, 12.0)
 RESTARTS_S = (45.0, 48.0, 49.3, 49.7)  # the destination recovers at 50 s
 RESTARTS_IN_SILENCE_S = (46.0, 48.0, 49.0, 49.3, 49.7)
--- a/benchmarks/simulate.py
+++ b/benchmarks/simulate.py
@@ -20,12 +20,12 @@
 from typing import Any
 
 from ashpath.config.units import Duration
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.policies import DELIVERY_POLICY, POLICIES
 from ashpath.emulator.runs import SCENARIO_LIBRARY, scenario_path, simulate_all
 from ashpath.emulator.scenario.loading import read_scenario
 from ashpath.emulator.scoreboard import Scoreboard
 from ashpath.emulator.simulation.run import Simulation
-from ashpath.emulator.units import SECOND
 from benchmarks.figure_storage import store_figures
 
 RATE = 4.5  # requests per second and sender, as in the scenario file
--- a/tests/core/test_statistics.py
+++ b/tests/core/test_statistics.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from ashpath.core.statistics import SECOND, DecayingShare, EventRate, RunningStatistics
+from ashpath.core.statistics import DecayingShare, EventRate, RunningStatistics
+from ashpath.core.time_units import SECOND
 
 
 def test_first_values_give_arithmetic_mean() -> None:
--- a/tests/core/test_token_bucket.py
+++ b/tests/core/test_token_bucket.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 from ashpath.core.token_bucket import TokenBucket
 
 
--- a/tests/emulator/destination/test_destination_model.py
+++ b/tests/emulator/destination/test_destination_model.py
@@ -7,11 +7,12 @@
 
 import pytest
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.calls import CallResult, DestinationCall
 from ashpath.emulator.destination.faults import Fault
 from ashpath.emulator.destination.model import DestinationModel
 from ashpath.emulator.destination.properties import DestinationProperties
-from ashpath.emulator.units import NEVER, SECOND
+from ashpath.emulator.units import NEVER
 
 PLAIN = DestinationProperties(
     workers=2, service_times=(SECOND,), service_time_sigma=0, queue_capacity=1, slow_start_time=10 * SECOND
--- a/tests/emulator/test_invariant_checker.py
+++ b/tests/emulator/test_invariant_checker.py
@@ -8,8 +8,8 @@
 import pytest
 
 from ashpath.core.interface import RetrySafety, TrafficClassSettings
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.invariant_checker import InvariantChecker
-from ashpath.emulator.units import SECOND
 
 DEDUPLICATED = TrafficClassSettings(
     1.0, 4 * SECOND, 20 * SECOND, RetrySafety.DEDUPLICATED, 5 * SECOND, True, 0.0, True
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -7,7 +7,7 @@
 from support.fleet import CUSTOMERS, Fleet
 from support.scenario import Scenario
 
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
 RESTARTS = {"none": (), "amid": (40 * SECOND,), "before": (48 * SECOND,), "across": (49_700_000,)}
--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -11,7 +11,7 @@
 from support.scenario import Scenario
 
 from ashpath.core.interface import AttemptOutcome, EndpointStatus
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
 RETRY_AFTER = 2 * SECOND
--- a/tests/server/test_message_restoration.py
+++ b/tests/server/test_message_restoration.py
@@ -10,22 +10,19 @@
 from support.world import LIMITS
 
 from ashpath.core.interface import PreviousAttempts
+from ashpath.core.time_units import SECOND
 from ashpath.server.message_restoration import MessageRestorer
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import now, stored_time
 
-SECOND_US = 1_000_000
-
 
 @pytest.fixture
 def write_ahead_log(tmp_path: Path) -> WriteAheadLog:
     return WriteAheadLog(tmp_path, LIMITS.disk_bytes)
 
 
-def store_message(
-    write_ahead_log: WriteAheadLog, message_id: int, time_left: int = SECOND_US
-) -> StoredMessage:
+def store_message(write_ahead_log: WriteAheadLog, message_id: int, time_left: int = SECOND) -> StoredMessage:
     """Stores a message as the previous incarnation accepted it; `time_left` is in microseconds."""
     deadline = stored_time() + time_left
     message = StoredMessage(message_id, f"t{message_id}", 0, 1, None, None, deadline, b"")
@@ -36,12 +33,12 @@
 def test_messages_are_restored_in_order_of_acceptance(write_ahead_log: WriteAheadLog) -> None:
     notifier = unreachable_notifier(write_ahead_log)
     messages: dict[int, StoredMessage] = {}
-    accepted = [store_message(write_ahead_log, 1), store_message(write_ahead_log, 2, time_left=-SECOND_US)]
+    accepted = [store_message(write_ahead_log, 1), store_message(write_ahead_log, 2, time_left=-SECOND)]
     restored = MessageRestorer(write_ahead_log, notifier).restore(accepted, messages)
     assert [entry.message for entry in restored] == accepted
     assert list(messages) == [1, 2]
-    assert 0 < restored[0].time_left <= SECOND_US
-    assert restored[1].time_left <= -SECOND_US
+    assert 0 < restored[0].time_left <= SECOND
+    assert restored[1].time_left <= -SECOND
     assert restored[0].previous == PreviousAttempts(0, None, "", unresolved=False)
 
 
@@ -58,12 +55,12 @@
 def test_interrupted_attempt_counts_as_possibly_run(write_ahead_log: WriteAheadLog) -> None:
     """The attempt is recorded as possibly run; its time and endpoint restrict the retries that follow."""
     message = store_message(write_ahead_log, 1)
-    write_ahead_log.record_attempt(message, stored_time() - 2 * SECOND_US, "e1")
+    write_ahead_log.record_attempt(message, stored_time() - 2 * SECOND, "e1")
     restorer = MessageRestorer(write_ahead_log, unreachable_notifier(write_ahead_log))
     previous = restorer.restore([message], {})[0].previous
     assert previous.unresolved
     assert previous.attempts == 1
     assert previous.first_run_endpoint == "e1"
     assert previous.first_run_at is not None
-    assert 2 * SECOND_US <= now() - previous.first_run_at < 3 * SECOND_US
+    assert 2 * SECOND <= now() - previous.first_run_at < 3 * SECOND
     assert message.in_flight_since is None
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -27,7 +27,7 @@
     RetrySafety,
     TrafficClassSettings,
 )
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
 RESPONSE_TIME = 200_000  # from a call to its response
