--- a/ashpath/policy/rate_pacing.py
+++ b/ashpath/policy/rate_pacing.py
@@ -90,9 +90,9 @@
         rate = self.rate or max(state.initial_rate, even_split)
         growth = tuning.INITIAL_RATE_INCREASE_FACTOR ** (2 * self.remaining_quota)
         state.initial_rate = min(tuning.MAX_INITIAL_RATE, state.initial_rate * growth)
-        step = min(
-            tuning.MAX_RATE_INCREASE,
-            rate if rate < even_split else tuning.EVEN_SPLIT_INCREASE_SHARE * even_split,
+        max_step = min(
+            tuning.MAX_RATE_STEP,
+            rate if rate < even_split else tuning.EVEN_SPLIT_STEP_SHARE * even_split,
         )
-        rate += step * (self.remaining_quota - tuning.TARGET_REMAINING_QUOTA)
+        rate += max_step * (self.remaining_quota - tuning.TARGET_REMAINING_QUOTA)
         self._set_rate(max(rate, 0.0 if has_reports else state.initial_rate))
--- a/ashpath/policy/tuning.py
+++ b/ashpath/policy/tuning.py
@@ -113,10 +113,10 @@
 REPEATED_RATE_DECREASE_FACTOR = 0.5
 # Largest step of the rate at a success, in calls per second. The step is multiplied by the remaining quota
 # less TARGET_REMAINING_QUOTA, which may be negative. Below the even split the step is at most the rate.
-MAX_RATE_INCREASE = 0.4
+MAX_RATE_STEP = 0.4
 # Largest step from the even split on, as a share of the even split. A larger one exceeds the limit, as all
 # senders increase their rates at once.
-EVEN_SPLIT_INCREASE_SHARE = 0.2
+EVEN_SPLIT_STEP_SHARE = 0.2
 # Share of the limit that stays unused in equilibrium. A larger share wastes the limit; a smaller one causes
 # OVERLOADED outcomes.
 TARGET_REMAINING_QUOTA = 0.25
