--- a/ashpath/emulator/arrivals.py
+++ b/ashpath/emulator/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals of client requests: a Poisson process of clumps, with a rate for each span of the scenario."""
+"""Arrivals of client requests: a Poisson process of batches, with a rate for each span of the scenario."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         """Multiplier of the arrival rate, changed by faults."""
         self._cumulative_shares = cumulative_shares
         self._random = Random(f"{seed} clients")
-        self._clump_size = scenario.clients.clump_size
+        self._batch_size = scenario.clients.batch_size
         self._ordering_keys = scenario.clients.ordering_keys
         self._spans: list[TimedSpan] = []
         begins = 0
@@ -61,14 +61,14 @@
         return (span.rate + (end_rate - span.rate) * (now - begins) / (ends - begins)) * self.rate_factor
 
     def gap(self, now: int) -> int | None:
-        """Draws the microseconds to the next clump; returns None while the arrival rate is zero."""
+        """Draws the microseconds to the next batch; returns None while the arrival rate is zero."""
         rate = self.rate(now)
         if rate <= 0:
             return None
-        return max(1, int(self._random.expovariate(rate / self._clump_size) * SECOND))
+        return max(1, int(self._random.expovariate(rate / self._batch_size) * SECOND))
 
-    def clump(self) -> list[Arrival]:
-        """Draws the requests of one clump, which arrive together for one destination."""
+    def batch(self) -> list[Arrival]:
+        """Draws the requests of one batch, which arrive together for one destination."""
         random = self._random
         destination = bisect(self._cumulative_shares, random.random() * self._cumulative_shares[-1])
         return [
@@ -79,5 +79,5 @@
                 destination,
                 random.randrange(self._ordering_keys) if self._ordering_keys else None,
             )
-            for _ in range(self._clump_size)
+            for _ in range(self._batch_size)
         ]
--- a/ashpath/emulator/loopback/clients_runner.py
+++ b/ashpath/emulator/loopback/clients_runner.py
@@ -31,7 +31,7 @@
     while now < arrivals.end:
         arrivals.rate_factor = _traffic_factor(scenario.faults, now, arrivals.end)
         gap = arrivals.gap(now)
-        for arrival in arrivals.clump() if gap is not None else ():
+        for arrival in arrivals.batch() if gap is not None else ():
             id_ = f"{arrival.traffic_class}-{len(planned) + 1}"
             deadline = deadlines[arrival.traffic_class]
             requests[id_] = ClientRequest(
--- a/ashpath/emulator/scenario/schema.py
+++ b/ashpath/emulator/scenario/schema.py
@@ -232,7 +232,7 @@
     traffic_class_shares: Annotated[
         dict[Name, float], Key("relative shares of the requests, by traffic class", 1, 64)
     ] = field(name="mix")
-    clump_size: Annotated[
+    batch_size: Annotated[
         int, Key("number of requests that arrive at once for one destination", 1, 10_000)
     ] = field(name="clump", default=1)
     max_resubmissions: Annotated[
--- a/ashpath/emulator/simulation/clients.py
+++ b/ashpath/emulator/simulation/clients.py
@@ -45,20 +45,20 @@
 
     def start(self) -> None:
         """Schedules the first arrival."""
-        self._events.schedule(0, self._create_clump)
+        self._events.schedule(0, self._create_batch)
 
-    def _create_clump(self) -> None:
-        """Submits one clump of requests, and schedules the next clump."""
+    def _create_batch(self) -> None:
+        """Submits one batch of requests, and schedules the next batch."""
         now = self._events.now
         if now >= self._arrivals.end:
             return
         gap = self._arrivals.gap(now)
         if gap is None:
-            self._events.schedule(now + IDLE_SPAN_POLL, self._create_clump)
+            self._events.schedule(now + IDLE_SPAN_POLL, self._create_batch)
             return
-        self._events.schedule(now + gap, self._create_clump)
+        self._events.schedule(now + gap, self._create_batch)
         span = self._arrivals.span(now)
-        for arrival in self._arrivals.clump():
+        for arrival in self._arrivals.batch():
             self._created += 1
             traffic_class = arrival.traffic_class
             request = ClientRequest(
