--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -19,7 +19,7 @@
 from ashpath.core.timers import POLL_TIMER, RANKING_TIMER
 from ashpath.policy import retries, tuning
 from ashpath.policy.destination import Destination, cancel_overdue_attempt
-from ashpath.policy.judgement import is_connection_table_full, was_overtaken
+from ashpath.policy.failure_classification import is_connection_table_full, was_overtaken
 
 
 class DeliveryPolicy(PolicyEngine):
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -22,7 +22,7 @@
 from ashpath.core.snapshots import BreakerState
 from ashpath.core.statistics import DecayingShare
 from ashpath.policy import tuning
-from ashpath.policy.judgement import record_failure
+from ashpath.policy.failure_classification import record_failure
 from ashpath.policy.outage import Outage
 from ashpath.policy.rate_pacing import RateLimit
 
