--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -15,7 +15,7 @@
 
 from ashpath.config.changes import find_changes
 from ashpath.config.loading import Credentials, read_configuration, read_credentials
-from ashpath.config.platform_form import notification_target, platform_form, resolve_path
+from ashpath.config.platform_document import notification_target, platform_document, resolve_path
 from ashpath.config.schema import Configuration
 from ashpath.core.json_types import JsonObject
 from ashpath.server.addresses import parse_address
@@ -54,7 +54,7 @@
         """Reads a file and its secrets. Raises `InvalidConfigurationError`."""
         file = read_configuration(path)
         credentials = read_credentials(path, file)
-        document = platform_form(file, file.sender.seed or secrets.token_hex(8))
+        document = platform_document(file, file.sender.seed or secrets.token_hex(8))
         return cls(path, file, SenderConfiguration.parse(document), credentials)
 
     def with_traffic_class_ids(
--- a/ashpath/config/platform_form.py
+++ b/ashpath/config/platform_document.py
@@ -42,7 +42,7 @@
 NOTIFICATION_PATH = "/v1/notices"  # on the platform's address
 
 
-def platform_form(configuration: Configuration, seed: str) -> JsonObject:
+def platform_document(configuration: Configuration, seed: str) -> JsonObject:
     """Returns the document of a platform's file.
 
     The table `own` of `limits` is an addition, with the limits that only the sender's own file sets.
--- a/ashpath/core/platform_settings.py
+++ b/ashpath/core/platform_settings.py
@@ -3,7 +3,7 @@
 JSON names are defined only in this module. A field whose Python name differs from its JSON name declares the
 JSON name by `field(name=...)`; all others differ only in hyphens. Times are milliseconds. A null value and a
 missing key mean the same; unknown keys are ignored. `policy_settings.py` converts the parsed settings, and
-`config/platform_form.py` produces the same structure from the sender's own configuration file.
+`config/platform_document.py` produces the same structure from the sender's own configuration file.
 """
 
 from __future__ import annotations
--- a/ashpath/emulator/scenario/settings.py
+++ b/ashpath/emulator/scenario/settings.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from ashpath.config.platform_form import platform_form
+from ashpath.config.platform_document import platform_document
 from ashpath.config.schema import Configuration, DestinationKind, Limits, Sender
 from ashpath.config.units import TIMES, Duration, Name, parse_amount
 from ashpath.core.interface import PolicySettings
@@ -42,7 +42,7 @@
     configuration = sender_configuration(scenario)
     configuration.sender.number = number
     configuration.sender.senders = scenario.fleet.senders
-    settings = policy_settings(seed, platform_form(configuration, "0")["settings"])
+    settings = policy_settings(seed, platform_document(configuration, "0")["settings"])
     # A sender on sockets reports full connection tables too.
     return replace(settings, reports_full_connection_table=True)
 
--- a/ashpath/server/configuration.py
+++ b/ashpath/server/configuration.py
@@ -1,8 +1,8 @@
 """The configuration of a sender, in the form of the platform's file (`RELAY_CONFIG`).
 
 Theory of operation: `SenderConfiguration.parse` takes the decoded JSON document, at the start and again at
-each SIGHUP. A sender's own TOML file is converted to the same form first (`config.platform_form`), so that
-each rule is implemented once. Parsed values are immutable: `aligned_with`, which depends on an earlier
+each SIGHUP. A sender's own TOML file is converted to the same form first (`config/platform_document.py`), so
+that each rule is implemented once. Parsed values are immutable: `aligned_with`, which depends on an earlier
 configuration, and `with_traffic_class_ids`, which depends on the write-ahead log, return new values.
 
 The write-ahead log, the endpoint list and the policy know traffic classes, kinds and zones by number.
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -24,7 +24,7 @@
 import psutil
 
 from ashpath.config.loading import read_configuration
-from ashpath.config.platform_form import platform_form
+from ashpath.config.platform_document import platform_document
 from benchmarks.figure_storage import ROOT, store_figures
 
 RUNS = 5
@@ -134,9 +134,9 @@
     """Returns the variant `python -m ashpath` of a source tree."""
     port = free_port()
     configuration = read_configuration(write_sender_file(folder, port))
-    form = platform_form(configuration, SEED) | {"discovery": UNREACHABLE}
-    form["limits"].pop("own")
-    (folder / "config.json").write_bytes(orjson.dumps(form))
+    document = platform_document(configuration, SEED) | {"discovery": UNREACHABLE}
+    document["limits"].pop("own")
+    (folder / "config.json").write_bytes(orjson.dumps(document))
     environment = {
         "RELAY_NAME": "n0",
         "RELAY_LISTEN": f"127.0.0.1:{port}",
--- a/tests/config/test_loading.py
+++ b/tests/config/test_loading.py
@@ -12,7 +12,7 @@
 
 from ashpath.config.errors import InvalidConfigurationError
 from ashpath.config.loading import read_configuration
-from ashpath.config.platform_form import platform_form
+from ashpath.config.platform_document import platform_document
 from ashpath.core.policy_settings import sender_settings
 
 MALFORMED_FILES = [
@@ -118,7 +118,7 @@
             assert "\n" not in line
     else:
         # A valid file must also convert to a sender's settings.
-        sender_settings(1, platform_form(found, "1")["settings"])
+        sender_settings(1, platform_document(found, "1")["settings"])
 
 
 def test_example_file_is_valid() -> None:
--- a/tests/config/test_platform_form.py
+++ b/tests/config/test_platform_document.py
@@ -7,7 +7,7 @@
 from support.configuration import TEXT, write_file
 
 from ashpath.config.loading import read_configuration
-from ashpath.config.platform_form import platform_form
+from ashpath.config.platform_document import platform_document
 from ashpath.core.policy_settings import sender_settings
 from ashpath.server.limits import ServerLimits
 
@@ -54,16 +54,16 @@
 
 def test_file_gives_same_settings_as_platform_json(tmp_path: Path) -> None:
     """The file and a platform's JSON with the same values give equal settings."""
-    form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
+    document = platform_document(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     settings = sender_settings(0x8C1F, PLATFORM_SETTINGS)
-    assert sender_settings(int(form["seed"], 16), form["settings"]) == settings
+    assert sender_settings(int(document["seed"], 16), document["settings"]) == settings
 
 
 def test_file_gives_same_limits_as_platform_json(tmp_path: Path) -> None:
-    form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
+    document = platform_document(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     settings = sender_settings(0x8C1F, PLATFORM_SETTINGS)
     platform_limits = ServerLimits.from_configuration({"sockets": 1024, "disk_mb": 3.0}, settings)
-    file_limits = ServerLimits.from_configuration(form["limits"], settings)
+    file_limits = ServerLimits.from_configuration(document["limits"], settings)
     for name in (
         "client_connections",
         "endpoint_connections",
@@ -75,6 +75,6 @@
 
 
 def test_endpoint_list_has_ids_and_phases(tmp_path: Path) -> None:
-    form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
-    assert [row["id"] for row in form["known"]["members"]] == ["7@10.1.0.18:7070", "second"]
-    assert [row["phase"] for row in form["known"]["members"]] == ["up", "draining"]
+    document = platform_document(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
+    assert [row["id"] for row in document["known"]["members"]] == ["7@10.1.0.18:7070", "second"]
+    assert [row["phase"] for row in document["known"]["members"]] == ["up", "draining"]
