--- a/ashpath/config/platform_document.py
+++ b/ashpath/config/platform_document.py
@@ -12,8 +12,9 @@
 import msgspec
 
 from ashpath.config.endpoints import endpoint_id, endpoints_as_tables
+from ashpath.config.file_document import file_document
 from ashpath.config.schema import Configuration, Rules, TrafficClass
-from ashpath.config.units import SIZES, TIMES, Duration, HttpTarget, Size, format_amount, parse_http_url
+from ashpath.config.units import HttpTarget, parse_http_url
 from ashpath.core.interface import RetrySafety
 from ashpath.core.json_types import JsonObject
 from ashpath.core.platform_settings import (
@@ -187,28 +188,6 @@
     return None
 
 
-def file_document(table: msgspec.Struct) -> JsonObject:
-    """Returns a configuration, or a table of it, in the form of the sender's own file.
-
-    Defaults are included; fields that are None are left out.
-    """
-    values = {field.encode_name: getattr(table, field.name) for field in msgspec.structs.fields(table)}
-    return {name: file_value(value) for name, value in values.items() if value is not None}
-
-
-def file_value(value: object) -> object:
-    """Returns a value as TOML and JSON represent it; durations and sizes become texts with units."""
-    if isinstance(value, msgspec.Struct):
-        return file_document(value)
-    if isinstance(value, dict):
-        return {str(name): file_value(item) for name, item in value.items()}
-    if isinstance(value, list):
-        return [file_value(item) for item in value]
-    if isinstance(value, Duration):
-        return format_amount(value, TIMES)
-    return format_amount(value, SIZES) if isinstance(value, Size) else value
-
-
 def resolve_path(base: Path, path: str) -> Path:
     """Returns the absolute path; a relative path is resolved against the directory `base`."""
     return (base / path).absolute()
--- a/ashpath/emulator/loopback/senders.py
+++ b/ashpath/emulator/loopback/senders.py
@@ -8,7 +8,7 @@
 import gevent
 import tomli_w
 
-from ashpath.config.platform_document import file_document
+from ashpath.config.file_document import file_document
 from ashpath.emulator.errors import FleetStartError
 from ashpath.emulator.scenario.schema import Scenario
 from ashpath.emulator.scenario.settings import sender_configuration
--- a/tests/emulator/loopback/test_loopback_run.py
+++ b/tests/emulator/loopback/test_loopback_run.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from ashpath.config.file_document import file_document
 from ashpath.config.loading import read_configuration
-from ashpath.config.platform_document import file_document
 from ashpath.emulator.errors import UnsupportedFaultError
 from ashpath.emulator.runs import run_on_loopback, scenario_path, simulate
 
