--- a/ashpath/emulator/fault_injection/discovery_agent.py
+++ b/ashpath/emulator/fault_injection/discovery_agent.py
@@ -60,9 +60,6 @@
     index: int | None
     """The revision that the poll names; None if the poll requests a snapshot."""
     reply: AgentReply
-    sent_revision: int = 0
-    """Revision of the list that was written completely; 0 if no list was."""
-    sent_at: float = 0.0
 
 
 class DiscoveryAgent:
@@ -154,10 +151,7 @@
             "complete": not unchanged,
             "members": [] if unchanged else self.members,
         }
-        revision = self.revision
         connection.write(encode_message(b"HTTP/1.1 200 OK", [], orjson.dumps(body)))
-        record.sent_revision = revision
-        record.sent_at = monotonic()
         return True
 
 
--- a/ashpath/emulator/scenario/schema.py
+++ b/ashpath/emulator/scenario/schema.py
@@ -223,7 +223,7 @@
     simulated_length: Annotated[
         Duration, Key("part of the length that is simulated; 0s: all of it", 0, 400 * D)
     ] = field(name="played", default=Duration(0))
-    name: Annotated[str, Key("name of the span, such as `tue 17h`", 0, 40)] = ""
+    name: Annotated[str, Key("name of the span, such as `tue 17h`, for readers of the file", 0, 40)] = ""
 
 
 class Clients(Struct):
