--- a/ashpath/cli/submit.py
+++ b/ashpath/cli/submit.py
@@ -29,7 +29,7 @@
 @click.command()
 @click.option("--to", "destination", required=True, type=click.IntRange(0), help="The destination's number.")
 @click.option("--track", "traffic_class", required=True, help="The traffic class's name.")
-@click.option("--key", help="The idempotency key, by which a retry is recognised; generated if not given.")
+@click.option("--key", help="The idempotency key, by which a retry is recognized; generated if not given.")
 @click.option("--order", help="Messages of an ordered traffic class with the same ORDER go one at a time.")
 @click.option(
     "--expires", type=DurationType(), default="16s", show_default=True, help="The time until its deadline."
--- a/ashpath/core/interface.py
+++ b/ashpath/core/interface.py
@@ -16,7 +16,7 @@
     """Whether the destination may run a message more than once."""
 
     IDEMPOTENT = "free to run again"
-    DEDUPLICATED = "a repeat is recognised for a while"
+    DEDUPLICATED = "a repeat is recognized for a while"
     AT_MOST_ONCE = "must never run twice"
 
 
@@ -97,7 +97,7 @@
     """The maximum number of attempts per message; 0: limited only by the deadline."""
     may_cancel: bool
     max_retry_after: int
-    """The longest Retry-After that clients honour, in microseconds; 0: rejections carry no Retry-After."""
+    """The longest Retry-After that clients honor, in microseconds; 0: rejections carry no Retry-After."""
     connect_timeout: int
     idle_timeout: int
     """Microseconds after which endpoints close an idle connection; 0: unknown."""
--- a/ashpath/policy/queues.py
+++ b/ashpath/policy/queues.py
@@ -50,7 +50,7 @@
         drain_time = int(SECOND * max(1.0, self.count_in_time() / max(1.0, delivery_rate)))
         for queue in (*self.in_time, *map(reversed, self.late)):
             for message in queue:
-                if message.deadline_at <= now or not _is_repeat_recognised(message, endpoint):
+                if message.deadline_at <= now or not _is_repeat_recognized(message, endpoint):
                     continue  # a message past its deadline is finished by its timer
                 delivered_at = now + self.expected_duration(message.traffic_class)
                 value = message.value_at(delivered_at)
@@ -66,8 +66,8 @@
         return best
 
 
-def _is_repeat_recognised(message: Message, endpoint: Endpoint) -> bool:
-    # True for a message that has not run yet, or if the endpoint would recognise its repeat.
+def _is_repeat_recognized(message: Message, endpoint: Endpoint) -> bool:
+    # True for a message that has not run yet, or if the endpoint would recognize its repeat.
     run = message.first_run
     any_zone = message.traffic_class.settings.deduplicates_across_zones
     return run is None or any_zone or run.zone == endpoint.zone
--- a/ashpath/policy/retries.py
+++ b/ashpath/policy/retries.py
@@ -29,7 +29,7 @@
 
 
 def retry_window_end(state: SenderState, message: Message) -> int:
-    """Returns the latest time in microseconds at which a retry may start and still be recognised as a repeat.
+    """Returns the latest time in microseconds at which a retry may start and still be recognized as a repeat.
 
     The connect timeout is subtracted, as the retry may need a new connection.
     """
--- a/ashpath/server/agent_client.py
+++ b/ashpath/server/agent_client.py
@@ -27,8 +27,8 @@
         self.address = address
         self.limits = limits
         self.connection: HttpConnection | None = None
-        self.connected_address = address  # of the connection, or of the one being dialled
-        self.dialling: socket.socket | None = None  # the socket that is being dialled
+        self.connected_address = address  # of the connection, or of the one being dialed
+        self.dialing: socket.socket | None = None  # the socket that is being dialed
 
     def change_address(self, address: Address) -> None:
         """Uses `address` for all further calls. A call in flight fails."""
@@ -39,8 +39,8 @@
         """Makes a call in flight fail. The next call uses another connection."""
         if self.connection is not None:
             self.connection.close()
-        if self.dialling is not None:
-            self.dialling.close()  # the greenlet that dials gets an OSError
+        if self.dialing is not None:
+            self.dialing.close()  # the greenlet that dials gets an OSError
 
     def call(
         self, request_line: bytes, body: bytes, timeout_s: float, headers: Headers = ()
@@ -70,17 +70,17 @@
 
     def connect(self) -> HttpConnection:
         """Returns the persistent connection if it is still usable, otherwise a new one. Raises OSError if
-        dialling fails."""
+        dialing fails."""
         kept = self.connection
         if kept is not None and self.connected_address == self.address and kept.is_idle():
             return kept
         self.close()
         self.connected_address = self.address  # before the dial, as `change_address` may be called meanwhile
-        self.dialling = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.dialing = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            self.connection = dial(self.dialling, self.connected_address, self.limits)
+            self.connection = dial(self.dialing, self.connected_address, self.limits)
         finally:
-            self.dialling = None
+            self.dialing = None
         return self.connection
 
     def close(self) -> None:
--- a/tests/emulator/loopback/test_replay.py
+++ b/tests/emulator/loopback/test_replay.py
@@ -2,7 +2,7 @@
 
 Failure: a sender is killed before it responds to a submission that it has read, or before it reads the
 response of a destination. Two senders, or two incarnations of one, may then send the same message, and the
-replay counts this permitted behaviour as a violation. kills.txt contains the cases.
+replay counts this permitted behavior as a violation. kills.txt contains the cases.
 """
 
 from __future__ import annotations
--- a/tests/emulator/soak/test_judge.py
+++ b/tests/emulator/soak/test_judge.py
@@ -1,4 +1,4 @@
-"""The rule checker of a soak run reports each broken rule, and nothing for permitted behaviour."""
+"""The rule checker of a soak run reports each broken rule, and nothing for permitted behavior."""
 
 from __future__ import annotations
 
@@ -181,7 +181,7 @@
         request_unanswered_during_shutdown,
     ],
 )
-def test_permitted_behaviour_is_not_reported(allowed: Callable[[SoakRecords], None]) -> None:
+def test_permitted_behavior_is_not_reported(allowed: Callable[[SoakRecords], None]) -> None:
     records = valid_records()
     allowed(records)
     assert rules(records) == set()
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -31,12 +31,12 @@
     """Connections that are closed by the far end, hold unexpected bytes or were idle for too long are closed,
     both on reuse and by the sweep."""
     pool = ConnectionPool(LIMITS)
-    good, closed, spoilt, old = (pool.connect(endpoint_address(world)) for _ in range(4))
-    for connection in (closed, spoilt, good, old):
+    good, closed, unusable, old = (pool.connect(endpoint_address(world)) for _ in range(4))
+    for connection in (closed, unusable, good, old):
         pool.release("e1", connection)
     closed.write(b"nonsense\r\n\r\n")  # the far end closes the connection in response
-    spoilt.write(request("s", "free", "200", 1))  # leaves a response that nobody reads
-    wait_until(lambda: not closed.is_idle() and not spoilt.is_idle())
+    unusable.write(request("s", "free", "200", 1))  # leaves a response that nobody reads
+    wait_until(lambda: not closed.is_idle() and not unusable.is_idle())
     assert pool.acquire_idle("e1") is good
     assert pool.open == 2
     backdate_idle_connection(pool, 0, LIMITS.endpoint_idle_s)
--- a/tests/server/metrics/test_collector.py
+++ b/tests/server/metrics/test_collector.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("route", ["", "x1"])
-def test_gate_samples_are_labelled_with_destination_and_route(route: str) -> None:
+def test_gate_samples_are_labeled_with_destination_and_route(route: str) -> None:
     gate = GateSnapshot(route, 5, 2, BreakerState.HALF_OPEN, 7.5, 1.0, True, 0)
     destination = Mock(number=7, unfinished_messages=3)
     destination.snapshot.return_value = DestinationSnapshot(7, 1, 3, (gate,))
