--- a/ashpath/emulator/baselines/skeleton.py
+++ b/ashpath/emulator/baselines/skeleton.py
@@ -165,6 +165,9 @@
         self.needs_dispatch[destination] = None
         if outcome not in NOT_RUN_OUTCOMES and message.first_run_at < 0:
             message.first_run_at = attempt.began
+        self._end_or_requeue(message, outcome, final=final)
+
+    def _end_or_requeue(self, message: QueuedMessage, outcome: AttemptOutcome, *, final: bool) -> None:
         settles = message.ordering_key is not None and outcome in UNRESOLVED_OUTCOMES
         if message.ordering_key is not None and settles:
             self._start_settling(message.ordering_key)
--- a/ashpath/emulator/destination/model.py
+++ b/ashpath/emulator/destination/model.py
@@ -12,12 +12,12 @@
 from __future__ import annotations
 
 from collections import OrderedDict, deque
-from dataclasses import dataclass, field
 from heapq import heapreplace
 from random import Random
 
 from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.calls import CallResult, DestinationCall, RequestTally
+from ashpath.emulator.destination.endpoint_state import EndpointState
 from ashpath.emulator.destination.faults import ActiveFaults, Fault
 from ashpath.emulator.destination.properties import DestinationProperties
 from ashpath.emulator.destination.rate_limit import DestinationRateLimit
@@ -26,17 +26,6 @@
 ERROR_RESPONSE_TIME = 1000  # microseconds to the response of a call that fails before its effect
 
 
-@dataclass(eq=False, slots=True)
-class EndpointState:
-    """One endpoint of a destination."""
-
-    workers_free_at: list[int]
-    """The time at which each worker becomes free, as a heap. Endpoints that share workers share the heap."""
-    queued_starts: deque[int] = field(default_factory=deque)
-    """Start times of the waiting calls; those that have started are removed when a call arrives."""
-    connections: int = 0
-
-
 class DestinationModel:
     """One destination. An entry of `key_expiry_times` is removed after the deduplication window.
 
@@ -135,21 +124,36 @@
         )
         in_slow_start = now < self.recovered_at + self.properties.slow_start_time
         if in_slow_start and self._causes_collapse(now):
-            self.collapsed_until = now + self.properties.collapse_time
-            self.recovered_at = self.collapsed_until
-            self.collapses += 1
+            self._collapse(now)
         if self.faults.silent or now < self.collapsed_until:
             return call
         if self.faults.hung:
             self._record_effect(now, call)  # executed when the fault ends; no caller receives the response
             return call
-        if self._rejects(now, state, call):
-            return self._with_report(call)
+        if not self._rejects(now, state, call):
+            self._process(now, state, call, traffic_class, in_slow_start, new_connection)
+        return self._with_report(call)
+
+    def _collapse(self, now: int) -> None:
+        self.collapsed_until = now + self.properties.collapse_time
+        self.recovered_at = self.collapsed_until
+        self.collapses += 1
+
+    def _process(
+        self,
+        now: int,
+        state: EndpointState,
+        call: DestinationCall,
+        traffic_class: int,
+        in_slow_start: bool,
+        new_connection: bool,
+    ) -> None:
+        # Determines the result of a call that is not rejected, and when its response is sent.
         draw = self.random.random() if self.faults.has_failure_share else 1.0
         if draw < self.faults.error_share:
             call.result = CallResult.ERROR
             call.responds_after = ERROR_RESPONSE_TIME
-            return self._with_report(call)
+            return
         service_time = self._service_time(traffic_class) * self.faults.service_time_factor
         if in_slow_start:
             service_time /= self.speed(now)
@@ -158,7 +162,6 @@
         self._assign_worker(now, state, call, service_time)
         if self.faults.has_failure_share:
             self._apply_failure_shares(draw - self.faults.error_share, call)
-        return self._with_report(call)
 
     def call_ended(self, now: int, call: DestinationCall, request: str) -> None:
         """Ends a call, whose response has been written or whose caller has disconnected."""
--- a/ashpath/emulator/simulation/sender.py
+++ b/ashpath/emulator/simulation/sender.py
@@ -174,18 +174,11 @@
         """Records the outcome of a call, and reports it to the policy; a second outcome is ignored."""
         if call.finished:
             return
-        now = self._events.now
         message = call.message
         call.finished = True
         message.in_flight = None
         self._network.release(call)
-        message.request.last_outcome = outcome.value
-        self._context.scoreboard.attempt_finished(now, outcome)
-        if call.sent:
-            self._checker.attempt_finished(now, self.number, message.number, outcome.value, call.began)
-        if retry_after:
-            route = self._network.route(call.endpoint)
-            self._checker.retry_after_received(now, self.number, route, retry_after)
+        self._observe_outcome(call, outcome, retry_after)
         if outcome not in NOT_RUN_OUTCOMES:
             self._record_possible_run(call)
         delivered = outcome is AttemptOutcome.DELIVERED
@@ -196,6 +189,18 @@
             self._policy.attempt_finished, message.number, outcome, retry_after, delivered, report
         )
 
+    def _observe_outcome(self, call: InFlightCall, outcome: AttemptOutcome, retry_after: int) -> None:
+        # Reports an outcome to the scoreboard and the checker, before the policy acts on it.
+        now = self._events.now
+        message = call.message
+        message.request.last_outcome = outcome.value
+        self._context.scoreboard.attempt_finished(now, outcome)
+        if call.sent:
+            self._checker.attempt_finished(now, self.number, message.number, outcome.value, call.began)
+        if retry_after:
+            route = self._network.route(call.endpoint)
+            self._checker.retry_after_received(now, self.number, route, retry_after)
+
     @staticmethod
     def _record_possible_run(call: InFlightCall) -> None:
         message = call.message
