--- a/tests/policy/test_order_of_events.py
+++ b/tests/policy/test_order_of_events.py
@@ -7,8 +7,9 @@
 
 import pytest
 from msgspec.structs import replace
-from support.policy_harness import PolicyEvent, TrackedMessage, attempt_finished, timer_fired
+from support.policy_events import PolicyEvent, attempt_finished, timer_fired
 from support.scenario import Scenario
+from support.tracked_message import TrackedMessage
 
 from ashpath.core.interface import AttemptOutcome, EndpointStatus
 from ashpath.core.time_units import SECOND
--- a/tests/policy/test_scenarios.py
+++ b/tests/policy/test_scenarios.py
@@ -11,7 +11,7 @@
 
 import pytest
 from msgspec.structs import replace
-from support import scenario as scenario_language
+from support import scenario_values
 from support.scenario import Scenario
 
 import ashpath.core
@@ -29,7 +29,7 @@
 
 def test_doctest_examples_of_core_modules_pass() -> None:
     names = [module.name for module in pkgutil.iter_modules(ashpath.core.__path__, "ashpath.core.")]
-    modules = [scenario_language, tap, *map(importlib.import_module, names)]
+    modules = [scenario_values, tap, *map(importlib.import_module, names)]
     assert "ashpath.core.platform_settings" in names
     assert all(doctest.testmod(module).failed == 0 for module in modules)
 
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable
-from dataclasses import dataclass
 
 from msgspec.structs import replace
 
@@ -25,14 +24,9 @@
     TrafficClassSettings,
 )
 from ashpath.policy.delivery_policy import DeliveryPolicy
+from support.policy_events import PolicyEvent, attempt_finished, restore_outage, timer_fired
+from support.tracked_message import MAY_STILL_RUN, NEVER_RAN, TrackedMessage
 
-NEVER_RAN = (
-    AttemptOutcome.OVERLOADED,
-    AttemptOutcome.CONNECT_FAILED,
-    AttemptOutcome.CONNECTION_TABLE_FULL,
-    AttemptOutcome.NOT_SENT,
-)
-MAY_STILL_RUN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED)
 ANSWER_SLACK = 20_000
 """Allowed delay of a final outcome after the deadline, as timers fire between batches."""
 
@@ -65,28 +59,6 @@
 )
 
 MakePolicy = Callable[[PolicySettings, PolicyActions], DeliveryPolicy]
-PolicyEvent = Callable[[DeliveryPolicy], None]
-
-
-@dataclass
-class TrackedMessage:
-    """The state of a message as the rules need it."""
-
-    traffic_class: TrafficClassSettings
-    destination: int
-    ordering_key: int | None
-    deadline_at: int
-    endpoint_id: str | None = None
-    """The endpoint of the attempt in flight; None if no attempt is."""
-    attempts: int = 0
-    started_at: int = 0
-    """Start of the latest attempt."""
-    due_at: int = 0
-    """Time at which the latest attempt times out."""
-    first_run_at: int | None = None
-    """Start of the first attempt that may have run; None if no attempt may have."""
-    first_run_endpoint: str = ""
-    finished: bool = False
 
 
 class PolicyHarness:
@@ -323,17 +295,3 @@
     def route(self, endpoint_id: str) -> Hashable:
         row = self.endpoints[endpoint_id]
         return endpoint_id if self.kinds[row.kind].limit_per_endpoint else row.destination
-
-
-def timer_fired(token: str) -> PolicyEvent:
-    return lambda policy: policy.timer_fired(token)
-
-
-def attempt_finished(
-    message_id: int, outcome: AttemptOutcome, retry_after: int, finished: bool, report: LoadReport | None
-) -> PolicyEvent:
-    return lambda policy: policy.attempt_finished(message_id, outcome, retry_after, finished, report)
-
-
-def restore_outage(outage_key: tuple[int, str], rate: float) -> PolicyEvent:
-    return lambda policy: policy.restore_outage(*outage_key, rate)
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -42,7 +42,9 @@
     TrafficClassSettings,
 )
 from ashpath.policy.gate import Gate
-from support.policy_harness import ANSWER_SLACK, MakePolicy, PolicyHarness, TrackedMessage
+from support.policy_harness import ANSWER_SLACK, MakePolicy, PolicyHarness
+from support.scenario_values import parse_duration, parse_setting
+from support.tracked_message import TrackedMessage
 
 RETRY_SAFETY = {safety.name.lower(): safety for safety in RetrySafety}
 OUTCOMES = {outcome.name.lower(): outcome for outcome in AttemptOutcome}
@@ -54,27 +56,6 @@
 FLAGS = ("has_load_reports", "has_listed_rates", "gossip_enabled", "reports_full_connection_table")
 
 
-def parse_duration(text: str) -> int:
-    """Returns a duration in whole microseconds.
-
-    >>> parse_duration("1.5s"), parse_duration("20ms")
-    (1500000, 20000)
-    """
-    unit = "ms" if text.endswith("ms") else "s"
-    return round(float(text.removesuffix(unit)) * {"ms": 1_000, "s": 1_000_000}[unit])
-
-
-def parse_setting(text: str) -> int | float | tuple[float, ...]:
-    """Returns the value of a setting: a duration, a number, or a tuple of numbers.
-
-    >>> parse_setting("2s"), parse_setting("40"), parse_setting("0.04/0.01")
-    (2000000, 40, (0.04, 0.01))
-    """
-    if "/" in text:
-        return tuple(float(part) for part in text.split("/"))
-    return parse_duration(text) if text.endswith("s") else int(text)
-
-
 class ScenarioError(AssertionError):
     """A line of a scenario failed."""
 
