--- a/ashpath/emulator/sender_process.py
+++ b/ashpath/emulator/sender_process.py
@@ -31,7 +31,9 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Starts the process without waiting until it is ready."""
+        """Starts the process, unless it runs, without waiting until it is ready."""
+        if self.is_running():
+            return
         command = [sys.executable, "-m", "ashpath.cli", "serve", str(self.configuration)]
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(command, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
