--- a/tests/emulator/soak/test_day.py
+++ b/tests/emulator/soak/test_soak_run.py
@@ -6,9 +6,9 @@
 
 import gevent
 
-from ashpath.emulator.soak.day import SoakRun, rule_checker_settings
 from ashpath.emulator.soak.judge import RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
+from ashpath.emulator.soak.run import SoakRun, rule_checker_settings
 
 SEEDS = (1, 2, 15, 23)
 
