--- a/ashpath/emulator/loopback/faults.py
+++ b/ashpath/emulator/loopback/faults.py
@@ -7,6 +7,7 @@
 import gevent
 
 from ashpath.core.interface import EndpointRecord, EndpointStatus
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.faults import OUTAGE_FAULTS, Fault
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.errors import UnsupportedFaultError
@@ -17,7 +18,6 @@
 from ashpath.emulator.scenario.schema import DESTINATION_FAULTS, Scenario, ScriptedFault
 from ashpath.emulator.scoreboard import Scoreboard
 from ashpath.emulator.topology import Topology, successor_name
-from ashpath.emulator.units import SECOND
 
 SIMULATION_ONLY = ("network", "split", "clock", "directory")
 TRAFFIC = "traffic"  # planned into the requests before the run
@@ -80,7 +80,8 @@
                 began_at = self._clock.now()
                 self._senders.kill(number)
                 self._log.add(SenderKilled(began_at, number, self._clock.now()))
-                gevent.spawn_later(int(fault.duration) / SECOND, self._senders.start, number)
+                if fault.duration:
+                    gevent.spawn_later(int(fault.duration) / SECOND, self._senders.start, number)
 
     def _add_fault(self, number: int, fault: Fault, scripted: ScriptedFault) -> None:
         destination = self._topology.destinations[number]
--- a/ashpath/emulator/scenario/schema.py
+++ b/ashpath/emulator/scenario/schema.py
@@ -223,7 +223,7 @@
     simulated_length: Annotated[
         Duration, Key("part of the length that is simulated; 0s: all of it", 0, 400 * D)
     ] = field(name="played", default=Duration(0))
-    name: Annotated[str, Key("name of the span, such as `tue 17h`", 0, 40)] = ""
+    name: Annotated[str, Key("name of the span, such as `tue 17h`, for readers of the file", 0, 40)] = ""
 
 
 class Clients(Struct):
@@ -232,7 +232,7 @@
     traffic_class_shares: Annotated[
         dict[Name, float], Key("relative shares of the requests, by traffic class", 1, 64)
     ] = field(name="mix")
-    clump_size: Annotated[
+    batch_size: Annotated[
         int, Key("number of requests that arrive at once for one destination", 1, 10_000)
     ] = field(name="clump", default=1)
     max_resubmissions: Annotated[
--- a/ashpath/emulator/simulation/clients.py
+++ b/ashpath/emulator/simulation/clients.py
@@ -6,6 +6,7 @@
 from random import Random
 
 from ashpath.core.interface import TrafficClassSettings
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.arrivals import Arrivals
 from ashpath.emulator.client_request import ClientRequest
 from ashpath.emulator.final_outcomes import FinalOutcome
@@ -13,7 +14,6 @@
 from ashpath.emulator.scoreboard import DeliveryValue, Scoreboard
 from ashpath.emulator.simulation.event_queue import EventQueue
 from ashpath.emulator.simulation.fleet import Fleet
-from ashpath.emulator.units import SECOND
 
 DEAD_SENDER_RETRY_DELAY = SECOND // 10  # microseconds
 IDLE_SPAN_POLL = SECOND // 10  # microseconds between checks of the span's rate while the rate is zero
@@ -45,20 +45,20 @@
 
     def start(self) -> None:
         """Schedules the first arrival."""
-        self._events.schedule(0, self._create_clump)
+        self._events.schedule(0, self._create_batch)
 
-    def _create_clump(self) -> None:
-        """Submits one clump of requests, and schedules the next clump."""
+    def _create_batch(self) -> None:
+        """Submits one batch of requests, and schedules the next batch."""
         now = self._events.now
         if now >= self._arrivals.end:
             return
         gap = self._arrivals.gap(now)
         if gap is None:
-            self._events.schedule(now + IDLE_SPAN_POLL, self._create_clump)
+            self._events.schedule(now + IDLE_SPAN_POLL, self._create_batch)
             return
-        self._events.schedule(now + gap, self._create_clump)
+        self._events.schedule(now + gap, self._create_batch)
         span = self._arrivals.span(now)
-        for arrival in self._arrivals.clump():
+        for arrival in self._arrivals.batch():
             self._created += 1
             traffic_class = arrival.traffic_class
             request = ClientRequest(
