--- a/ashpath/cli/simulation_report.py
+++ b/ashpath/cli/simulation_report.py
@@ -4,6 +4,7 @@
 
 from ashpath.cli.output import print_rows
 from ashpath.cli.simulation_runs import ScenarioResults
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.runs import Run, policy_table
 
 POLICY_UNDER_TEST = "module"  # with --sockets, its name begins with this word
@@ -36,7 +37,7 @@
     for run in results.runs:
         for violation in run.violations[:MAX_VIOLATIONS]:
             print(
-                f"{run.policy}, seed {run.seed}, {violation.at / 1e6:.3f}s: "
+                f"{run.policy}, seed {run.seed}, {violation.at / SECOND:.3f}s: "
                 f"{violation.rule}: {violation.what} {violation.message_id}"
             )
             for time_us, event in violation.events:
@@ -58,4 +59,4 @@
 
 def format_time(time_us: int) -> str:
     """Formats a simulated time, given in microseconds, as seconds."""
-    return f"{time_us / 1e6:9.3f}s"
+    return f"{time_us / SECOND:9.3f}s"
--- a/ashpath/cli/submission.py
+++ b/ashpath/cli/submission.py
@@ -9,6 +9,7 @@
 from ashpath.cli.errors import CommandError, SenderUnreachableError
 from ashpath.cli.status_client import StatusClient
 from ashpath.core.json_types import JsonObject
+from ashpath.core.time_units import SECOND
 
 FIRST_POLL_S = 0.05  # pause before the first poll of the message's state; doubles after each poll
 MAX_POLL_S = 0.5  # upper bound of that pause
@@ -77,7 +78,7 @@
     A sender that does not respond may be restarting, so polling goes on until RESTART_GRACE_S after the
     deadline. The state is unknown if that time ends or the sender does not know the message.
     """
-    poll_until = time.monotonic() + submission.lifetime_us / 1e6 + RESTART_GRACE_S
+    poll_until = time.monotonic() + submission.lifetime_us / SECOND + RESTART_GRACE_S
     pause = FIRST_POLL_S
     while time.monotonic() < poll_until:
         time.sleep(pause)
--- a/ashpath/server/http/encoding.py
+++ b/ashpath/server/http/encoding.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Sequence
 
+from ashpath.core.time_units import SECOND
 from ashpath.server import wire_names
 
 Header = tuple[bytes, bytes]
@@ -53,5 +54,5 @@
     """
     headers = [] if keep_alive else [(b"connection", b"close")]
     if retry_after > 0:
-        headers.append((wire_names.RETRY_AFTER_HEADER, b"%.3f" % (retry_after / 1e6)))
+        headers.append((wire_names.RETRY_AFTER_HEADER, b"%.3f" % (retry_after / SECOND)))
     return encode_message(STATUS_LINES[status], headers, body)
--- a/ashpath/server/http/status_api.py
+++ b/ashpath/server/http/status_api.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from ashpath.core.snapshots import BreakerState, DestinationSnapshot, GateSnapshot
-from ashpath.core.time_units import milliseconds
+from ashpath.core.time_units import SECOND, milliseconds
 from ashpath.server import wire_names
 from ashpath.server.http.messages import HttpRequest
 from ashpath.server.http.request_handler import Reply
@@ -155,7 +155,7 @@
         outcome = self.outcome_store.get(trace_id)
         if outcome is None:
             return json_reply(HTTPStatus.NOT_FOUND, {"error": "never seen, or forgotten"})
-        row: OutcomeRow = {"id": trace_id, "state": outcome.state, "at": outcome.at / 1e6}
+        row: OutcomeRow = {"id": trace_id, "state": outcome.state, "at": outcome.at / SECOND}
         if outcome.retry_after:
             row["again_ms"] = milliseconds(outcome.retry_after)
         return json_reply(HTTPStatus.OK, row)
--- a/ashpath/server/storage/log_report.py
+++ b/ashpath/server/storage/log_report.py
@@ -15,6 +15,7 @@
 from msgspec import Struct, field
 
 from ashpath.core.json_types import JsonObject
+from ashpath.core.time_units import SECOND
 from ashpath.server.storage.errors import ForeignRecordError
 from ashpath.server.storage.live_messages import LiveMessages
 from ashpath.server.storage.log_directory import FIRST_LOG
@@ -145,7 +146,7 @@
     if at_us is None:
         return None
     try:
-        return datetime.fromtimestamp(at_us / 1e6, UTC).isoformat(timespec="milliseconds")
+        return datetime.fromtimestamp(at_us / SECOND, UTC).isoformat(timespec="milliseconds")
     except (ValueError, OverflowError, OSError):
         return str(at_us)
 
