--- a/tests/emulator/destination/test_destination_server.py
+++ b/tests/emulator/destination/test_destination_server.py
@@ -14,13 +14,13 @@
 from gevent import socket
 from support.world import wait_until
 
+from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.calls import DestinationCall
 from ashpath.emulator.destination.model import DestinationModel
 from ashpath.emulator.destination.properties import DestinationProperties
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.run_clock import RunClock
 from ashpath.emulator.stand_ins import stand_in_limits
-from ashpath.emulator.units import SECOND
 from ashpath.server import wire_names
 
 # Microseconds.
