--- a/ashpath/emulator/soak/judge.py
+++ b/ashpath/emulator/soak/judge.py
@@ -18,10 +18,10 @@
 from collections import defaultdict
 from collections.abc import Iterator, Sequence
 from itertools import pairwise
-from math import sqrt
 
 from msgspec import Struct
 
+from ashpath.emulator.recovery_budget import allowed_calls, recovery_budget
 from ashpath.emulator.soak.records import Call, Effect, Incarnation, Reply, SoakRecords, Submission
 
 END_SLACK_S = 0.3
@@ -32,7 +32,6 @@
 RETRY_AFTER_SLACK_S = 0.15
 NEW_CONNECTION_ALLOWED_S = 0.3  # a connection that crosses SIGTERM within this time breaks no rule
 SHUTDOWN_MARGIN_S = 0.5  # connections may be reset within this time before an incarnation ends
-SMALL_BUDGET_CALLS = 30  # a smaller budget gets a wider statistical tolerance
 
 
 class RuleCheckerSettings(Struct, frozen=True):
@@ -201,9 +200,10 @@
 
     def overloaded_recoveries(self) -> Iterator[BrokenRule]:
         """Yields destinations with more calls than their budget in the first `overload_s` after an outage."""
-        budget = self.settings.cold_rate * self.settings.overload_multiple * self.settings.overload_s
-        factor = 3 if budget < SMALL_BUDGET_CALLS else 2
-        allowed = budget + factor * sqrt(budget) + factor
+        settings = self.settings
+        allowed = allowed_calls(
+            recovery_budget(settings.cold_rate, settings.overload_multiple, settings.overload_s)
+        )
         for outage in self.records.outages:
             window_end = outage.ended_at + self.settings.overload_s
             calls = [
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,8 +1,6 @@
 """Simulates the policies of many senders of one destination that fails and recovers, in virtual time.
 
-The limit of calls to the destination is that of the operators' rule: N + 2 * sqrt(N) + 2. N is the overload
-multiple times the destination's capacity at that time times the overload duration; the rest allows for
-chance. Times are in microseconds.
+`ashpath.emulator.recovery_budget` has the limit of calls to the destination. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -10,7 +8,6 @@
 import heapq
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from math import sqrt
 from random import Random
 from typing import cast
 
@@ -28,6 +25,7 @@
     TrafficClassSettings,
 )
 from ashpath.core.statistics import SECOND
+from ashpath.emulator.recovery_budget import TOLERANCE, recovery_budget, with_tolerance
 from ashpath.policy.delivery_policy import DeliveryPolicy
 
 RESPONSE_TIME = 200_000  # from a call to its response
@@ -111,12 +109,13 @@
         self.calls_in_outage += 1
         return None if self.silent else (AttemptOutcome.CONNECT_FAILED, REFUSAL_TIME)
 
-    def allowed_calls(self, when: int) -> float:
+    def budget(self, when: int) -> float:
+        """Returns the budget of a window in which the destination has its capacity at `when`."""
         settings = self.settings
         warm = min(1.0, (when - self.outage[1]) / settings.warm_up_time)
         initial = settings.initial_capacity_share
         capacity = self.capacity * (initial + (1 - initial) * warm)
-        return settings.overload_multiple * capacity * settings.overload_duration / SECOND
+        return recovery_budget(capacity, settings.overload_multiple, settings.overload_duration / SECOND)
 
     def worst_window(self) -> tuple[float, float]:
         """Returns the calls in the window with the highest load relative to its limit, and that limit.
@@ -129,8 +128,7 @@
                 break
             window_start = when - self.settings.overload_duration
             count = sum(at > window_start for at in self.calls[: last + 1])
-            budget = self.allowed_calls(when)
-            limit = budget + 2 * sqrt(budget) + 2
+            limit = with_tolerance(self.budget(when), TOLERANCE)
             if count / limit > worst[0] / worst[1]:
                 worst = (count, limit)
         return worst
