--- a/ashpath/core/gate_state.py
+++ b/ashpath/core/gate_state.py
@@ -44,6 +44,8 @@
         self.breaker = BreakerState.CLOSED
         self.reopened = 0
         """The number of consecutive failed trial requests."""
+        self.refused = False
+        """Whether a refused connection, which means that the endpoint is down, opened the circuit breaker."""
         self.open_until = 0
         self.retry_after_until = 0
         """The latest end of any Retry-After received."""
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -112,6 +112,9 @@
         endpoint = attempt.endpoint
         fast = 2 * duration < attempt.timeout
         endpoint.delivered(duration, fast=fast, gain=tuning.SMOOTHING_GAIN)
+        if attempt.is_trial and self._trial_ends_unnoticed_outage():
+            self.outage.begin(self.state.now)
+            self.report_mode_change(f"ailing: {self.outage.failures:.1f} failures, then a success")
         self.outage.succeeded()
         self.error_share.reduce()
         self.rate_limit.increase()
@@ -126,6 +129,12 @@
                 self.limit += 1
                 self.fast_successes = 0
 
+    def _trial_ends_unnoticed_outage(self) -> bool:
+        # An outage may end before enough calls have failed in it, as an open breaker lets few through. The
+        # destination is in slow start all the same.
+        silent_time = self.state.now - self.outage.succeeded_at
+        return self.refused and not self.outage.down and silent_time > tuning.OUTAGE_DETECTION_TIME
+
     def _recovered(self, endpoint_id: str) -> None:
         self.outage.recover()
         allowed = self.allowance(self.state.now)
@@ -140,6 +149,7 @@
         # Where full connection tables are reported apart, a refused connection costs the destination nothing,
         # and a short cooldown finds its recovery sooner.
         free_of_cost = settings.reports_full_connection_table and outcome is AttemptOutcome.CONNECT_FAILED
+        self.refused |= free_of_cost
         cooldown = tuning.INITIAL_COOLDOWN << (self.reopened > 0 and not free_of_cost)
         # Staggers the trial requests of all senders by sender number over one more cooldown, so that they do
         # not arrive at a recovered destination together.
@@ -155,6 +165,7 @@
         self.limit = 1
         self.fast_successes = 0
         self.reopened = 0
+        self.refused = False
         self.report_mode_change("breaker closed")
 
     def apply_listed_rate(self, rate: float) -> None:
