--- a/ashpath/core/sender_state.py
+++ b/ashpath/core/sender_state.py
@@ -51,6 +51,9 @@
         """Calls in flight, oldest first."""
         self.destinations: dict[int, DestinationState] = {}
         """Destinations by number, while they have endpoints or messages."""
+        self.handing_over = False
+        """Whether another process of this sender takes over: both together may call a recovering destination
+        no more than one."""
         self.failed_polls = 0
         """Consecutive failed polls of the endpoint list."""
         self.detached: set[str] = set()
--- a/ashpath/policy/delivery_policy.py
+++ b/ashpath/policy/delivery_policy.py
@@ -181,6 +181,14 @@
         else:
             self.enqueue(message)
 
+    def hand_over(self) -> None:
+        """Leaves destinations that are down or warming up to the process that takes over.
+
+        That process adopts the messages that stay queued here. Each process would otherwise use the whole
+        budget of this sender at a recovering destination.
+        """
+        self.handing_over = True
+
     def endpoint_poll_failed(self) -> None:
         """Schedules the next poll at a random time, with a pause that doubles with each failure in a row."""
         self.failed_polls += 1
--- a/ashpath/policy/gate.py
+++ b/ashpath/policy/gate.py
@@ -53,6 +53,8 @@
         elif self.in_flight + len(self.reservations) >= min(self.limit, self.state.limit_cap):
             return self.reservations[0] if self.reservations else 0
         if self.outage.is_recovering(now):
+            if self.state.handing_over:
+                return 0
             recovers_at = self.outage.recovery_bucket.available_at(now, self.allowance(now), 1.0)
             if recovers_at:
                 return recovers_at
--- a/ashpath/server/policy_runner.py
+++ b/ashpath/server/policy_runner.py
@@ -179,6 +179,11 @@
 
     # Attempts.
 
+    def hand_over(self) -> None:
+        """Leaves destinations in an outage or in slow start to the other process of a hot upgrade."""
+        with self._batch as policy:
+            policy.hand_over()
+
     def stop_attempts(self) -> None:
         """Starts no further attempt; attempts in flight continue."""
         self.stopped = True
--- a/ashpath/server/shutdown.py
+++ b/ashpath/server/shutdown.py
@@ -11,9 +11,10 @@
 
 ACCEPTING: connections and messages are still accepted, and each response ends its connection. REJECTING: idle
 connections are closed, new requests get 503, attempts still start. HANDING_OVER: the other process accepts
-connections, clients of this process are drained, attempts still start. FINISHING: no attempt starts; attempts
-in flight, notifications and requests that are being read or answered continue. ENDED: the listening socket is
-closed first, so that new connections are refused and not reset; then the connections are closed.
+connections, clients of this process are drained, attempts still start, but none to destinations that are down
+or in slow start. FINISHING: no attempt starts; attempts in flight, notifications and requests that are being
+read or answered continue. ENDED: the listening socket is closed first, so that new connections are refused
+and not reset; then the connections are closed.
 
 A request that is incomplete `requests_after_term_s` after SIGTERM is answered 503. A second SIGTERM has no
 effect: a new shutdown would delay the responses that the first one still has to send. Messages that are
@@ -96,6 +97,7 @@
         this one."""
         self.state = ShutdownState.HANDING_OVER
         self.listener.stop()
+        self.policy_runner.hand_over()
         gevent.spawn(self.listener.drain_clients, self.limits.drain_clients_s)
 
     def stop_accepting(self) -> None:
--- a/tests/policy/test_recovery_budget.py
+++ b/tests/policy/test_recovery_budget.py
@@ -7,6 +7,7 @@
 from collections.abc import Iterable
 
 import pytest
+from support.fleet import RestartMethod
 from support.recovery_cases import RecoveryCase
 from support.sites import SITE_NAMES
 
@@ -32,3 +33,17 @@
         for seed in (1, 2, 3)
     ]
     assert not cases_over_limit(cases)
+
+
+@pytest.mark.parametrize("senders", [1, 3, 8, 30])
+@pytest.mark.parametrize("site", SITE_NAMES)
+def test_both_processes_of_hot_upgrades_stay_within_budget_of_one(site: str, senders: int) -> None:
+    """Guards against two processes of one sender that each use its whole budget."""
+    cases = [
+        RecoveryCase(site, senders, outage_s, False, RestartMethod.HOT_UPGRADE, uneven, False, capacity, seed)
+        for outage_s in (6.0, 20.0)
+        for uneven in (False, True)
+        for capacity in (6.0, 40.0)
+        for seed in (1, 2)
+    ]
+    assert not cases_over_limit(cases)
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -5,9 +5,10 @@
 import signal
 
 import gevent
+from gevent.server import StreamServer
 from support.loggers import error_raising_logger
 from support.server import READINESS_REQUEST, terminate
-from support.world import World, request, wait_until
+from support.world import World, free_address, request, wait_until
 
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.storage.detached_endpoints import DetachedEndpoints
@@ -75,3 +76,36 @@
     assert new.submit("b6", "free", "200", 6, time_left_ms=2500) == 202
     wait_until(lambda: new.notified("b5") and new.notified("b6"))
     assert new.attempt_count("b5") == new.attempt_count("b6") == 0
+
+
+def test_recovering_destination_gets_no_attempt_of_the_process_that_hands_over(
+    pair: tuple[World, World],
+) -> None:
+    """Guards a recovering destination against both processes of a sender, each with the sender's whole
+    budget. The process that takes over adopts the message and delivers it."""
+    old, new = pair
+    old.kill()
+    address = free_address()  # no server listens on this address yet
+    old.members[3]["host_port"] = f"127.0.0.1:{address[1]}"
+    rule = {"cold-from": 0.9, "ramp-time": 10000.0, "fall-multiple": 20.0, "fall": 3000.0}
+    settings = old.config["settings"]
+    old.config["settings"] = settings | {"contract": settings["contract"] | rule}
+    old.configure()
+    old.start()
+    gevent.sleep(1.6)  # an outage begins only after this long without a success
+    assert old.submit("held", "free", "200", 3) == 202
+    log = old.folder / "log"
+    wait_until(lambda: "destination 3 ailing" in log.read_text())
+    new.start()
+    assert old.process is not None
+    old.process.send_signal(signal.SIGTERM)
+    wait_until(lambda: "shutdown started" in log.read_text())
+    recovered_endpoint = StreamServer(address, old.serve_endpoint)
+    recovered_endpoint.start()
+    attempts = 0
+    while old.process.poll() is None:  # read after the count: the other process adopts after the exit only
+        assert not attempts
+        attempts = old.attempt_count("held")
+        gevent.sleep(0.02)
+    wait_until(lambda: new.attempt_count("held") == 1)
+    recovered_endpoint.stop()
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -276,6 +276,7 @@
             restarted_at = fleet.now + DRAIN_TIME + RESTART_TIME
             fleet.schedule(restarted_at, lambda: self.start(previous.messages))
         else:
+            previous.run_batch(DeliveryPolicy.hand_over)
             self.start({})
             fleet.schedule(fleet.now + DRAIN_TIME, lambda: self.adopt(previous))
 
--- a/tests/support/scenario.py
+++ b/tests/support/scenario.py
@@ -12,6 +12,7 @@
     0s     submit a b orders 7 [key=3] [deadline=4s]    messages are submitted, in one batch
     +10ms  delivered a | overloaded a [retry_after=400ms] [quota=0.2 rate=5] | or any other outcome
     +1s    restart                              killed, and restarted with its accepted messages
+    +1s    hand_over                            another process takes over in a hot upgrade
     +1s    disconnect a | drain x1 | remove x1 | list x1 | pass (only timers fire)
     +1s    detach x1 | attach x1                an operator detaches an endpoint, and attaches it again
     +1s    shared_retry_after x1 retry_after=2s   received by the other process of a hot upgrade
@@ -99,6 +100,7 @@
             "poll_failed": self.poll_failed,
             "receive": self.receive,
             "restart": lambda _names, _named: self.restart(),
+            "hand_over": lambda _names, _named: self.run_batch(lambda policy: policy.hand_over()),
             "pass": lambda _names, _named: None,
         }
 
