--- a/ashpath/server/storage/log_directory.py
+++ b/ashpath/server/storage/log_directory.py
@@ -56,11 +56,12 @@
     def orphans(self, own: Path) -> Iterator[LockedLog]:
         """Yields the logs of processes that have ended, each locked.
 
-        The caller releases each lock before it asks for the next log.
+        The caller releases each lock before it asks for the next log. A log whose lock file cannot be opened
+        is left out, so that it does not keep the others from being adopted.
         """
         for path in sorted(self.path.iterdir()):
             if path.name != own.name and LOG_NAME.fullmatch(path.name):
-                lock = try_acquire(_lock_path(path))
+                lock = _try_lock(path)
                 if lock is not None:
                     yield LockedLog(path, lock)
 
@@ -96,5 +97,12 @@
     _lock_path(path).unlink(missing_ok=True)
 
 
+def _try_lock(log: Path) -> FileLock | None:
+    try:
+        return try_acquire(_lock_path(log))
+    except OSError:
+        return None
+
+
 def _lock_path(log: Path) -> Path:
     return log.with_name(f"{log.name}.lock")
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -67,8 +67,12 @@
             0  # bytes of torn records that were skipped as the claimed log was read, before valid records
         )
         self._copied: set[Path] = set()  # orphans whose messages are in this log and that are not emptied yet
-        if claimed.path.exists():
-            self._read(claimed.path)
+        try:
+            if claimed.path.exists():
+                self._read(claimed.path)
+        except (OSError, ForeignRecordError):
+            self._lock.release()
+            raise
         with suppress(OSError):
             self.file.temporary.unlink(missing_ok=True)
         self.incomplete = True  # until the rewrite has succeeded
@@ -87,7 +91,7 @@
         """Adopts the live messages of logs whose process has ended, and returns them with their new ids.
 
         A log that cannot be read is left unchanged, for inspection by `ashpath ledger`. Raises OSError if the
-        state directory cannot be read or a lock file cannot be opened.
+        state directory cannot be listed, and adopts nothing then.
         """
         adopted: list[StoredMessage] = []
         for orphan in self._directory.orphans(self.file.path):
@@ -95,7 +99,8 @@
                 adopted += self._adopt_log(orphan.path)
             finally:
                 orphan.lock.release()
-        self.other_logs_bytes = self._directory.other_logs_bytes(self.file.path)
+        with suppress(OSError):  # the caller still has to receive the adopted messages
+            self.other_logs_bytes = self._directory.other_logs_bytes(self.file.path)
         return adopted
 
     def _adopt_log(self, path: Path) -> list[StoredMessage]:
--- a/tests/server/storage/test_failing_disk.py
+++ b/tests/server/storage/test_failing_disk.py
@@ -12,14 +12,16 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, suppress
 from pathlib import Path
-from typing import Any
 from unittest.mock import Mock
 
 import pytest
 
 from ashpath.server.log_repair import LogRepairer
+from ashpath.server.storage.errors import ForeignRecordError
+from ashpath.server.storage.file_lock import try_acquire
 from ashpath.server.storage.live_messages import LiveMessages
-from ashpath.server.storage.record_codec import RecordReader
+from ashpath.server.storage.log_directory import LogDirectory
+from ashpath.server.storage.record_codec import RecordReader, encode_fields
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
@@ -36,13 +38,13 @@
         self.calls_before_failure = first
         self.calls_to_fail = count
 
-    def wrap(self, real: Callable[[Any, Any], object]) -> Callable[[Any, Any], object]:
-        def call(target: int | Path, argument: bytes | int | Path) -> object:
+    def wrap(self, real: Callable[..., object]) -> Callable[..., object]:
+        def call(target: int | Path, argument: bytes | int | Path, *others: int) -> object:
             if self.calls_before_failure:
                 self.calls_before_failure -= 1
-                return real(target, argument)
+                return real(target, argument, *others)
             if not self.calls_to_fail:
-                return real(target, argument)
+                return real(target, argument, *others)
             self.calls_to_fail -= 1
             if self.error == "short" and isinstance(argument, bytes):
                 return real(target, argument[: len(argument) // 2])
@@ -175,6 +177,95 @@
     new.close()
 
 
+def orphaned_logs(folder: Path, *names: str) -> None:
+    """Creates one orphaned log per name, each with one message whose trace id is the name."""
+    for name in names:
+        origin = folder / f"origin-{name}"
+        log = WriteAheadLog(origin, MAX_LOG_BYTES)
+        stored = message(1)
+        stored.trace_id = name
+        assert log.record_submitted(stored)
+        log.close()
+        (origin / "journal").rename(folder / name)
+
+
+def test_unopenable_lock_file_keeps_no_other_orphan_from_adoption(tmp_path: Path) -> None:
+    """The second orphan's lock file cannot be opened. The messages of the others are returned, so that they
+    are delivered by this incarnation, and its own message follows once the lock file can be opened."""
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    orphaned_logs(tmp_path, "journal-1", "journal-2", "journal-3")
+    # Each adoption opens a lock file and the rewritten log: the third call opens the second lock file.
+    with failing_calls(FailingDisk("open", "ENOSPC", 2, 1)):
+        adopted = log.adopt()
+    assert [one.trace_id for one in adopted] == ["journal-1", "journal-3"]
+    assert [one.trace_id for one in log.adopt()] == ["journal-2"]
+    assert log.adopt() == []
+    log.close()
+
+
+def test_adopted_messages_are_returned_although_directory_cannot_be_listed(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The listing after the adoption fails; the messages are in this log, and the caller has to know them."""
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    orphaned_logs(tmp_path, "journal-1")
+
+    def fail(*_: object) -> int:
+        raise OSError(errno.EIO, "injected")
+
+    with monkeypatch.context() as patch:
+        patch.setattr(LogDirectory, "other_logs_bytes", fail)
+        assert [one.trace_id for one in log.adopt()] == ["journal-1"]
+    log.close()
+
+
+def test_orphan_is_unlocked_after_each_failed_call_of_its_adoption(tmp_path: Path) -> None:
+    """Each call of an adoption fails for good in turn. The orphan's lock is free afterwards, and another
+    process adopts each message that the first one did not adopt."""
+    for call in ("open", "write", "replace", "ftruncate"):
+        for first in range(4):
+            folder = tmp_path / f"{call}-{first}"
+            log = WriteAheadLog(folder, MAX_LOG_BYTES)
+            orphaned_logs(folder, "journal-1", "journal-2")
+            with failing_calls(FailingDisk(call, "EIO", first, 1000)):
+                adopted = {one.trace_id for one in log.adopt()}
+            for name in ("journal-1", "journal-2"):
+                lock = try_acquire(folder / f"{name}.lock")
+                assert lock is not None, (call, first, name)
+                lock.release()
+            other = WriteAheadLog(folder, MAX_LOG_BYTES)
+            assert adopted | set(other.messages.by_trace_id) == {"journal-1", "journal-2"}, (call, first)
+            other.close()
+            log.close()
+
+
+def test_start_that_cannot_read_its_log_releases_the_lock(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    WriteAheadLog(tmp_path, MAX_LOG_BYTES).close()
+
+    def fail(*_: object) -> None:
+        raise OSError(errno.EIO, "injected")
+
+    with monkeypatch.context() as patch:
+        patch.setattr(RecordReader, "__iter__", fail)
+        with pytest.raises(OSError, match="injected"):
+            WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    assert log.file.path.name == "journal"
+    log.close()
+
+
+def test_start_on_log_of_another_version_releases_the_lock(tmp_path: Path) -> None:
+    path = tmp_path / "journal"
+    path.write_bytes(encode_fields(["foreign", 1]))
+    with pytest.raises(ForeignRecordError):
+        WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    lock = try_acquire(tmp_path / "journal.lock")
+    assert lock is not None
+    lock.release()
+
+
 def test_repairer_logs_incomplete_log_once(tmp_path: Path) -> None:
     log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
     assert log.record_submitted(message(1))
