--- a/ashpath/server/log_repair.py
+++ b/ashpath/server/log_repair.py
@@ -22,8 +22,8 @@
 
 
 class LogRepairer:
-    """Repairs the write-ahead log every `interval_s` seconds. Logs once when the log falls behind, and once
-    when it is complete again.
+    """Repairs the write-ahead log every `interval_s` seconds. Logs once when the log falls behind or cannot
+    be rewritten, once when its file exceeds its limit for that reason, and once when each is over.
 
     `outcome_store` is repaired first, as the log may drop a message only after its final state was stored
     there."""
@@ -40,6 +40,8 @@
         self.logger = logger
         self.outcome_store = outcome_store
         self.behind = False
+        self.not_rewritten = False
+        self.over_limit = False
 
     def run(self) -> None:
         """Checks at each interval. Never returns."""
@@ -53,10 +55,38 @@
         if store is not None and store.needs_repair and not store.repair():
             return
         log = self.write_ahead_log
-        behind = log.needs_repair and not log.repair()
-        if behind != self.behind:
-            self.behind = behind
-            if behind:
-                self.logger.error("write-ahead log behind", live=len(log.messages.live))
-            else:
-                self.logger.info("write-ahead log whole again", live=len(log.messages.live))
+        if log.needs_repair or log.rewrite_failing:
+            log.repair()
+        self._report_behind(behind=log.needs_repair)
+        self._report_rewrites(not_rewritten=log.rewrite_failing and not log.needs_repair)
+        self._report_limit(over_limit=log.file.written > log.max_bytes)
+
+    def _report_behind(self, *, behind: bool) -> None:
+        if behind == self.behind:
+            return
+        self.behind = behind
+        live = len(self.write_ahead_log.messages.live)
+        if behind:
+            self.logger.error("write-ahead log behind", live=live)
+        else:
+            self.logger.info("write-ahead log whole again", live=live)
+
+    def _report_rewrites(self, *, not_rewritten: bool) -> None:
+        if not_rewritten == self.not_rewritten:
+            return
+        self.not_rewritten = not_rewritten
+        log = self.write_ahead_log
+        if not_rewritten:
+            self.logger.error(
+                "write-ahead log not rewritten", bytes=log.file.written, max_bytes=log.max_bytes
+            )
+        elif not log.rewrite_failing:
+            self.logger.info("write-ahead log rewritten again", bytes=log.file.written)
+
+    def _report_limit(self, *, over_limit: bool) -> None:
+        if over_limit and not self.over_limit:
+            log = self.write_ahead_log
+            self.logger.error(
+                "write-ahead log over its limit", bytes=log.file.written, max_bytes=log.max_bytes
+            )
+        self.over_limit = over_limit
--- a/ashpath/server/storage/log_file.py
+++ b/ashpath/server/storage/log_file.py
@@ -42,12 +42,17 @@
         self.written = 0  # bytes of complete records in the file
         self.torn = False  # the file may have bytes of an incomplete record after them
 
+    @property
+    def is_open(self) -> bool:
+        """Whether a rewrite has succeeded, so that records can be appended."""
+        return self.descriptor >= 0
+
     def append(self, data: bytes) -> None:
         """Appends all of `data` or nothing.
 
         Raises LogNotOpenError before the first rewrite, and OSError if the write or a truncation fails.
         """
-        if self.descriptor < 0:
+        if not self.is_open:
             raise LogNotOpenError(self.path)
         if self.torn:
             os.ftruncate(self.descriptor, self.written)
@@ -70,8 +75,10 @@
             os.replace(self.temporary, self.path)
         except OSError:
             os.close(descriptor)
+            with suppress(OSError):  # appends may need the space that an incomplete copy takes
+                self.temporary.unlink(missing_ok=True)
             raise
-        if self.descriptor >= 0:
+        if self.is_open:
             os.close(self.descriptor)
         self.descriptor = descriptor
         self.written = written
@@ -79,7 +86,7 @@
 
     def close(self) -> None:
         """Closes the file. No data is pending, since each record is written as it is appended."""
-        if self.descriptor >= 0:
+        if self.is_open:
             os.close(self.descriptor)
 
 
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -12,11 +12,15 @@
 | `record_attempt` | the error is raised: an attempt without a record could run twice after a restart |
 | `record_outcome`, `record_finished` | the event applies in this incarnation, and the log is incomplete |
 | the rewrite at the start | the log is incomplete; its live messages stay in the file unchanged |
+| any later rewrite | the file stays in use, and only new messages respect `max_bytes` |
 
-An incomplete log is rewritten before any further record is appended, and by `repair` as soon as a rewrite
-succeeds: an attempt recorded after a missing outcome would hide that the attempt before it may have run. If
-the process is killed before that, the next incarnation finds an attempt that may have run, or sends a notice
-a second time.
+The missing records of an incomplete log are written before any further record, or the log is rewritten: an
+attempt recorded after a missing outcome would hide that the attempt before it may have run. If the process is
+killed before that, the next incarnation finds an attempt that may have run, or sends a notice a second time.
+
+While rewrites fail, no message is accepted that would need one. Attempts and outcomes of accepted messages
+are still appended, beyond `max_bytes` if need be: delivery goes on, and the number of accepted messages
+bounds the growth. `LogRepairer` logs both and repeats the rewrite.
 
 The logs of processes that have ended are adopted (`log_directory.py`): their live messages get new ids and
 are written to this log, and only then is the other log emptied. A kill in between leaves a message in both
@@ -26,6 +30,7 @@
 from __future__ import annotations
 
 from contextlib import suppress
+from itertools import chain
 from pathlib import Path
 
 from ashpath.server.storage.errors import ForeignRecordError, LogIncompleteError
@@ -62,7 +67,8 @@
         claimed = self._directory.claim()
         self._lock = claimed.lock
         self.file = LogFile(claimed.path)
-        self.incomplete = False  # the file lacks records that are applied to `messages`
+        self.rewrite_failing = False  # whether the last rewrite failed; only a rewrite that succeeds ends it
+        self._unwritten: list[bytes] = []  # records that are applied to `messages` and missing in the file
         self.skipped_bytes = (
             0  # bytes of torn records that were skipped as the claimed log was read, before valid records
         )
@@ -75,7 +81,6 @@
             raise
         with suppress(OSError):
             self.file.temporary.unlink(missing_ok=True)
-        self.incomplete = True  # until the rewrite has succeeded
         with suppress(OSError):
             self._rewrite()
         with suppress(OSError):
@@ -142,7 +147,10 @@
         if REWRITE_FACTOR * needed > self.max_bytes - BLOCK_BYTES - self.other_logs_bytes:
             return False
         try:
-            self._append(data)
+            self._complete()
+            if not self._make_room(len(data)):
+                return False
+            self.file.append(data)
         except OSError:
             return False
         self.messages.add(message, len(data))
@@ -167,40 +175,76 @@
 
     def _record_if_live(self, record: AttemptFinished | MessageFinished) -> None:
         if record.message_id in self.messages.live:
+            data = record.encode()
             try:
-                self._append(record.encode())
+                self._append(data)
             except OSError:
-                self.incomplete = True
+                self._unwritten.append(data)
             self.messages.apply(record)
 
+    @property
+    def incomplete(self) -> bool:
+        """Whether the file lacks records that are applied to `messages`, or is not open yet."""
+        return bool(self._unwritten) or not self.file.is_open
+
     @property
     def needs_repair(self) -> bool:
         """Whether a failed write is still to be repeated, or a torn record to be truncated."""
         return self.incomplete or self.file.torn
 
     def repair(self) -> bool:
-        """Rewrites the log with all live messages; returns False if the write fails.
+        """Rewrites the log with all live messages, or at least appends the records whose write failed.
+
+        Returns False if neither succeeds. The rewritten log always has a record without effect: a full disk
+        accepts an empty log, and would lose a message whose final state has not been written to another file
+        either.
+        """
+        try:
+            self._rewrite(NO_OP_RECORD)
+        except OSError:
+            return self._append_unwritten()
+        return True
 
-        The rewritten log always has a record without effect: a full disk accepts an empty log, and would lose
-        a message whose final state has not been written to another file either."""
-        live = [MessageSubmitted(message).encode() for message in self.messages.live.values()]
+    def _append_unwritten(self) -> bool:
         try:
-            self.file.rewrite([*live, NO_OP_RECORD])
+            self.file.append(b"".join(self._unwritten))
         except OSError:
             return False
-        self.incomplete = False
+        self._unwritten.clear()
         return True
 
     def _append(self, data: bytes) -> None:
-        if self.incomplete and not self.repair():
-            raise LogIncompleteError(self.file.path)
-        if self.file.written + len(data) + self.messages.reserved_bytes + BLOCK_BYTES > self.max_bytes:
-            self._rewrite()
+        """Appends a record of an accepted message, even if the log has no room and cannot be rewritten."""
+        self._complete()
+        self._make_room(len(data))
         self.file.append(data)
 
-    def _rewrite(self) -> None:
-        self.file.rewrite(MessageSubmitted(message).encode() for message in self.messages.live.values())
-        self.incomplete = False
+    def _complete(self) -> None:
+        """Writes the missing records, by a rewrite only if the last one succeeded; see `_make_room`."""
+        if not self.incomplete or self._append_unwritten():
+            return
+        if self.rewrite_failing or not self.repair():
+            raise LogIncompleteError(self.file.path)
+
+    def _make_room(self, size: int) -> bool:
+        """Rewrites the log if it has no room for `size` bytes and a copy of the live messages.
+
+        Returns False if that fails, and also without a try if the last rewrite failed: `repair` repeats it,
+        as a rewrite for each record would hold up the sender.
+        """
+        if self.file.written + size + self.messages.reserved_bytes + BLOCK_BYTES <= self.max_bytes:
+            return True
+        if not self.rewrite_failing:
+            with suppress(OSError):
+                self._rewrite()
+        return not self.rewrite_failing
+
+    def _rewrite(self, *further_records: bytes) -> None:
+        live = (MessageSubmitted(message).encode() for message in self.messages.live.values())
+        self.rewrite_failing = True
+        self.file.rewrite(chain(live, further_records))
+        self.rewrite_failing = False
+        self._unwritten.clear()
 
     def close(self) -> None:
         """Closes and unlocks the log, which another process may then claim or adopt."""
--- a/tests/server/storage/test_failing_disk.py
+++ b/tests/server/storage/test_failing_disk.py
@@ -8,13 +8,12 @@
 from __future__ import annotations
 
 import errno
-import os
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager, suppress
+from contextlib import suppress
 from pathlib import Path
 from unittest.mock import Mock
 
 import pytest
+from support.failing_disk import SHORT, FailingDisk, failing_calls
 
 from ashpath.server.log_repair import LogRepairer
 from ashpath.server.storage.errors import ForeignRecordError
@@ -29,38 +28,6 @@
 CALLS = 12  # calls of one kind; each in turn is the first to fail
 
 
-class FailingDisk:
-    """Makes `count` calls of one function of `os` fail, after the first `first` calls of it."""
-
-    def __init__(self, name: str, error: str, first: int, count: int) -> None:
-        self.name = name
-        self.error = error
-        self.calls_before_failure = first
-        self.calls_to_fail = count
-
-    def wrap(self, real: Callable[..., object]) -> Callable[..., object]:
-        def call(target: int | Path, argument: bytes | int | Path, *others: int) -> object:
-            if self.calls_before_failure:
-                self.calls_before_failure -= 1
-                return real(target, argument, *others)
-            if not self.calls_to_fail:
-                return real(target, argument, *others)
-            self.calls_to_fail -= 1
-            if self.error == "short" and isinstance(argument, bytes):
-                return real(target, argument[: len(argument) // 2])
-            raise OSError(getattr(errno, self.error), "injected")
-
-        return call
-
-
-@contextmanager
-def failing_calls(*disks: FailingDisk) -> Iterator[None]:
-    with pytest.MonkeyPatch.context() as patch:
-        for disk in disks:
-            patch.setattr(os, disk.name, disk.wrap(getattr(os, disk.name)))
-        yield
-
-
 def message(number: int) -> StoredMessage:
     return StoredMessage(number, f"t{number}", 0, 1, None, None, 2**60, b"body \x00 %d" % number)
 
@@ -97,9 +64,9 @@
 FAULTS: dict[str, list[tuple[str, str]]] = {
     "write": [("write", "ENOSPC")],
     "write, input or output": [("write", "EIO")],
-    "short write": [("write", "short")],
-    "short write, not cut off": [("write", "short"), ("ftruncate", "EIO")],
-    "short write, nothing else either": [("write", "short"), ("ftruncate", "EIO"), ("replace", "EIO")],
+    "short write": [("write", SHORT)],
+    "short write, not cut off": [("write", SHORT), ("ftruncate", "EIO")],
+    "short write, nothing else either": [("write", SHORT), ("ftruncate", "EIO"), ("replace", "EIO")],
 }
 
 
