--- a/ashpath/server/storage/file_lock.py
+++ b/ashpath/server/storage/file_lock.py
@@ -34,6 +34,13 @@
         """Acquires the lock without waiting; returns False if it is held elsewhere."""
         return try_lock(self.descriptor)
 
+    def is_current(self, path: Path) -> bool:
+        """Whether the locked file is still the one of that name; its last holder may have removed it."""
+        try:
+            return os.path.samestat(os.fstat(self.descriptor), path.stat())
+        except FileNotFoundError:
+            return False
+
     def release(self) -> None:
         """Releases the lock. The file stays, as otherwise two processes could lock two files of one name."""
         os.close(self.descriptor)
@@ -44,8 +51,15 @@
 
     Raises OSError if the file cannot be opened.
     """
-    lock = FileLock(path)
-    if lock.acquire():
-        return lock
-    lock.release()
-    return None
+    while True:
+        lock = FileLock(path)
+        if not lock.acquire():
+            lock.release()
+            return None
+        try:
+            if lock.is_current(path):
+                return lock
+        except OSError:
+            lock.release()
+            raise
+        lock.release()
--- a/ashpath/server/storage/log_directory.py
+++ b/ashpath/server/storage/log_directory.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import errno
 import os
 import re
 from collections.abc import Iterator
@@ -22,6 +23,7 @@
 
 FIRST_LOG = "journal"  # claimed by a process that starts while no living process holds it
 LOG_NAME = re.compile(r"journal(-[0-9]+)?")
+DISK_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)  # the disk, not the configuration, may be at fault
 BLOCK_BYTES = 4096  # bytes that rounding up to whole blocks may add to a log and its rewritten copy together
 OTHER_LOG_FACTOR = 2.2  # bytes of disk per byte of another log: the log, its rewritten copy, and some growth
 
@@ -39,20 +41,33 @@
     def __init__(self, path: Path) -> None:
         self.path = path
 
-    def claim(self) -> LockedLog:
+    def claim(self, *, unused: bool = False) -> LockedLog:
         """Locks and returns this process's log, which is the first log unless a living process holds it.
 
+        `unused`: a log that has records is left to its next incarnation or adopter.
         Creates the directory if it does not exist. Raises LogLockedError if the log named after this process
-        is locked too, and OSError if a lock file cannot be opened.
+        cannot be claimed either, and OSError if a lock file cannot be opened.
         """
         self.path.mkdir(parents=True, exist_ok=True)
         for name in (FIRST_LOG, f"{FIRST_LOG}-{os.getpid()}"):
             path = self.path / name
             lock = try_acquire(_lock_path(path))
-            if lock is not None:
+            if lock is None:
+                continue
+            if not unused or not _may_have_records(path):
                 return LockedLog(path, lock)
+            lock.release()
         raise LogLockedError(self.path, os.getpid())
 
+    def is_new(self) -> bool:
+        """Whether the directory certainly has no log; it may not exist yet."""
+        try:
+            return not any(LOG_NAME.fullmatch(path.name) for path in self.path.iterdir())
+        except FileNotFoundError:
+            return True
+        except OSError:
+            return False
+
     def orphans(self, own: Path) -> Iterator[LockedLog]:
         """Yields the logs of processes that have ended, each locked.
 
@@ -97,6 +112,15 @@
     _lock_path(path).unlink(missing_ok=True)
 
 
+def _may_have_records(log: Path) -> bool:
+    try:
+        return log.stat().st_size > 0
+    except FileNotFoundError:
+        return False
+    except OSError:
+        return True
+
+
 def _try_lock(log: Path) -> FileLock | None:
     try:
         return try_acquire(_lock_path(log))
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -22,6 +22,10 @@
 are still appended, beyond `max_bytes` if need be: delivery goes on, and the number of accepted messages
 bounds the growth. `LogRepairer` logs both and repeats the rewrite.
 
+A new directory on a failing disk may take no lock file. The constructor leaves the log unclaimed then:
+nothing is accepted, no file is touched, and each rewrite tries to claim the log first. It claims an unused
+log only, as the messages of a used log have to be restored at a start or by an adoption.
+
 The logs of processes that have ended are adopted (`log_directory.py`): their live messages get new ids and
 are written to this log, and only then is the other log emptied. A kill in between leaves a message in both
 logs, so a message whose trace id is live already is not adopted again.
@@ -34,8 +38,16 @@
 from pathlib import Path
 
 from ashpath.server.storage.errors import ForeignRecordError, LogIncompleteError
+from ashpath.server.storage.file_lock import FileLock
 from ashpath.server.storage.live_messages import LiveMessages, reserved_bytes
-from ashpath.server.storage.log_directory import BLOCK_BYTES, LogDirectory, clear_adopted
+from ashpath.server.storage.log_directory import (
+    BLOCK_BYTES,
+    DISK_ERRORS,
+    FIRST_LOG,
+    LockedLog,
+    LogDirectory,
+    clear_adopted,
+)
 from ashpath.server.storage.log_file import LogFile
 from ashpath.server.storage.record_codec import (
     AttemptFinished,
@@ -54,7 +66,8 @@
     """The log of one process, and its live messages: its own, and those adopted from orphaned logs.
 
     The constructor raises LogLockedError if the log is locked, ForeignRecordError if another version wrote
-    a record of the log, and OSError if the log cannot be opened or read.
+    a record of the log, and OSError if the log cannot be opened or read. In a new directory on a failing disk
+    it raises nothing.
     """
 
     def __init__(self, directory: Path, max_bytes: int) -> None:
@@ -64,20 +77,29 @@
         """Read-only for other classes: only this class changes the table, together with the log."""
         self.other_logs_bytes = 0  # bytes that other processes' logs may need, as of the last `adopt`
         self._directory = LogDirectory(directory)
-        claimed = self._directory.claim()
-        self._lock = claimed.lock
-        self.file = LogFile(claimed.path)
-        self.rewrite_failing = False  # whether the last rewrite failed; only a rewrite that succeeds ends it
+        self._lock: FileLock | None = None  # None: unclaimed, and `file` must not be touched
+        self.file = LogFile(directory / FIRST_LOG)
+        self.rewrite_failing = True  # until a rewrite succeeds, and again from a failed one on
         self._unwritten: list[bytes] = []  # records that are applied to `messages` and missing in the file
         self.skipped_bytes = (
             0  # bytes of torn records that were skipped as the claimed log was read, before valid records
         )
         self._copied: set[Path] = set()  # orphans whose messages are in this log and that are not emptied yet
         try:
-            if claimed.path.exists():
-                self._read(claimed.path)
+            claimed = self._directory.claim()
+        except OSError as error:
+            if error.errno not in DISK_ERRORS or not self._directory.is_new():
+                raise
+        else:
+            self._open(claimed)
+
+    def _open(self, claimed: LockedLog) -> None:
+        """Reads and rewrites the log of the last incarnation, if there is one, and adopts orphaned logs."""
+        self._use(claimed)
+        try:
+            self._read()
         except (OSError, ForeignRecordError):
-            self._lock.release()
+            claimed.lock.release()
             raise
         with suppress(OSError):
             self.file.temporary.unlink(missing_ok=True)
@@ -86,8 +108,14 @@
         with suppress(OSError):
             self.adopt()
 
-    def _read(self, path: Path) -> None:
-        with path.open("rb") as file:
+    def _use(self, claimed: LockedLog) -> None:
+        self._lock = claimed.lock
+        self.file = LogFile(claimed.path)
+
+    def _read(self) -> None:
+        if not self.file.path.exists():
+            return
+        with self.file.path.open("rb") as file:
             reader = RecordReader(file)
             self.messages.read(reader)
             self.skipped_bytes = reader.skipped_bytes
@@ -96,9 +124,11 @@
         """Adopts the live messages of logs whose process has ended, and returns them with their new ids.
 
         A log that cannot be read is left unchanged, for inspection by `ashpath ledger`. Raises OSError if the
-        state directory cannot be listed, and adopts nothing then.
+        state directory cannot be listed, and adopts nothing then, as while this log is unclaimed.
         """
         adopted: list[StoredMessage] = []
+        if self._lock is None:
+            return adopted
         for orphan in self._directory.orphans(self.file.path):
             try:
                 adopted += self._adopt_log(orphan.path)
@@ -242,11 +272,19 @@
     def _rewrite(self, *further_records: bytes) -> None:
         live = (MessageSubmitted(message).encode() for message in self.messages.live.values())
         self.rewrite_failing = True
+        if self._lock is None:
+            self._claim_unused()
         self.file.rewrite(chain(live, further_records))
         self.rewrite_failing = False
         self._unwritten.clear()
 
+    def _claim_unused(self) -> None:
+        self._use(self._directory.claim(unused=True))
+        with suppress(OSError):
+            self.other_logs_bytes = self._directory.other_logs_bytes(self.file.path)
+
     def close(self) -> None:
         """Closes and unlocks the log, which another process may then claim or adopt."""
         self.file.close()
-        self._lock.release()
+        if self._lock is not None:
+            self._lock.release()
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -131,6 +131,25 @@
     recovered_endpoint.stop()
 
 
+def test_sender_in_a_new_directory_on_a_full_disk_accepts_once_the_disk_has_room(world: World) -> None:
+    """No lock file can be made at first: the sender starts and rejects messages. Once files can be made it
+    accepts messages, which a kill does not lose."""
+    world.faults = ProcessFaults((CallFault(FaultyCall.OPEN, "ENOSPC", count=24),))
+    world.start()
+    assert world.submit("early", "free", "200", 1) == 503
+    assert not list((world.folder / "state").glob("journal*"))
+    wait_until(lambda: world.submit("late", "once", "hang", 1) == 202)
+    wait_until(partial(attempted_once, world, "late"))
+    lines = (world.folder / "log").read_text()
+    assert lines.count("write-ahead log behind") == lines.count("write-ahead log whole again") == 1
+    world.kill()
+    world.faults = None
+    world.start()
+    wait_until(lambda: world.notified("late") == ["undeliverable"])
+    assert world.attempt_count("late") == 1
+    assert world.attempt_count("early") == 0
+
+
 def test_startup_waits_for_free_descriptors(world: World) -> None:
     """Guards against a start that fails when descriptors run out for a moment. The first socket is that of
     the first poll; the listening sockets follow, and the next five attempts to create a socket fail."""
