--- a/ashpath/server/storage/errors.py
+++ b/ashpath/server/storage/errors.py
@@ -71,7 +71,7 @@
 
 
 class LogNotOpenError(OSError):
-    """The log is not open, since no rewrite of it has succeeded yet."""
+    """The log is not open, since it could neither be rewritten nor be opened as it is yet."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(f"{path}: the write-ahead log is not open yet")
--- a/ashpath/server/storage/log_file.py
+++ b/ashpath/server/storage/log_file.py
@@ -33,7 +33,10 @@
 
 
 class LogFile:
-    """A log that is open for appending from the first `rewrite` until `close`, in one process at a time."""
+    """A log that is open for appending from the first `rewrite` until `close`, in one process at a time.
+
+    `open_existing` opens it too.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -44,13 +47,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a rewrite has succeeded, so that records can be appended."""
+        """Whether records can be appended."""
         return self.descriptor >= 0
 
     def append(self, data: bytes) -> None:
         """Appends all of `data` or nothing.
 
-        Raises LogNotOpenError before the first rewrite, and OSError if the write or a truncation fails.
+        Raises LogNotOpenError before the log is open, and OSError if the write or a truncation fails.
         """
         if not self.is_open:
             raise LogNotOpenError(self.path)
@@ -66,6 +69,22 @@
             raise
         self.written += len(data)
 
+    def open_existing(self, valid_bytes: int, first_record: bytes) -> None:
+        """Opens the file as it is, without what follows its valid records, and appends one record.
+
+        For a start whose rewrite fails; the file is created if it does not exist. Raises OSError, in which
+        case the log is not open.
+        """
+        descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o666)
+        try:
+            os.ftruncate(descriptor, valid_bytes)
+            append_whole(descriptor, first_record, valid_bytes)
+        except OSError:
+            os.close(descriptor)
+            raise
+        self.descriptor = descriptor
+        self.written = valid_bytes + len(first_record)
+
     def rewrite(self, records: Iterable[bytes]) -> None:
         """Replaces the content with `records`. Raises OSError, in which case the file is unchanged."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -11,8 +11,8 @@
 | `record_submitted` | the message is not accepted |
 | `record_attempt` | the error is raised: an attempt without a record could run twice after a restart |
 | `record_outcome`, `record_finished` | the event applies in this incarnation, and the log is incomplete |
-| the rewrite at the start | the log is incomplete; its live messages stay in the file unchanged |
-| any later rewrite | the file stays in use, and only new messages respect `max_bytes` |
+| a rewrite | the file stays in use, and only new messages respect `max_bytes` |
+| the rewrite at the start, and the first append | the log is incomplete; its file has its live messages |
 
 The missing records of an incomplete log are written before any further record, or the log is rewritten: an
 attempt recorded after a missing outcome would hide that the attempt before it may have run. If the process is
@@ -80,6 +80,7 @@
         self._lock: FileLock | None = None  # None: unclaimed, and `file` must not be touched
         self.file = LogFile(directory / FIRST_LOG)
         self.rewrite_failing = True  # until a rewrite succeeds, and again from a failed one on
+        self._valid_bytes = 0  # of the file as it was read, up to the end of its last valid record
         self._unwritten: list[bytes] = []  # records that are applied to `messages` and missing in the file
         self.skipped_bytes = (
             0  # bytes of torn records that were skipped as the claimed log was read, before valid records
@@ -103,8 +104,7 @@
             raise
         with suppress(OSError):
             self.file.temporary.unlink(missing_ok=True)
-        with suppress(OSError):
-            self._rewrite()
+        self._rewrite_or_append()
         with suppress(OSError):
             self.adopt()
 
@@ -119,6 +119,7 @@
             reader = RecordReader(file)
             self.messages.read(reader)
             self.skipped_bytes = reader.skipped_bytes
+            self._valid_bytes = reader.offset
 
     def adopt(self) -> list[StoredMessage]:
         """Adopts the live messages of logs whose process has ended, and returns them with their new ids.
@@ -229,20 +230,29 @@
         accepts an empty log, and would lose a message whose final state has not been written to another file
         either.
         """
+        return self._rewrite_or_append(NO_OP_RECORD)
+
+    def _rewrite_or_append(self, *further_records: bytes) -> bool:
         try:
-            self._rewrite(NO_OP_RECORD)
+            self._rewrite(*further_records)
         except OSError:
             return self._append_unwritten()
         return True
 
     def _append_unwritten(self) -> bool:
         try:
+            self._open_existing()
             self.file.append(b"".join(self._unwritten))
         except OSError:
             return False
         self._unwritten.clear()
         return True
 
+    def _open_existing(self) -> None:
+        """Opens the file that was read at the start and that no rewrite could replace, unless it is open."""
+        if self._lock is not None and not self.file.is_open:
+            self.file.open_existing(self._valid_bytes, NO_OP_RECORD)
+
     def _append(self, data: bytes) -> None:
         """Appends a record of an accepted message, even if the log has no room and cannot be rewritten."""
         self._complete()
--- a/tests/server/storage/test_failing_rewrites.py
+++ b/tests/server/storage/test_failing_rewrites.py
@@ -81,6 +81,45 @@
     log.close()
 
 
+@pytest.mark.parametrize("torn_bytes", [0, 5])
+def test_start_delivers_what_was_accepted_while_rewrites_fail(tmp_path: Path, torn_bytes: int) -> None:
+    """The records are appended to the file that the last incarnation left, whose torn end is cut off first.
+    The next start, whose rewrites fail too, finds both."""
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    assert submit(log, "a")
+    assert submit(log, "b")
+    log.close()
+    with (tmp_path / "journal").open("ab") as file:
+        file.write(b"\0" * torn_bytes)
+    with failing_calls(FailingDisk("replace", "EIO", 0, FOR_GOOD)):
+        log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+        assert not log.needs_repair
+        assert log.rewrite_failing
+        first, second = log.messages.live.values()
+        log.record_attempt(first, 77, "e1")
+        log.record_finished(first)
+        log.record_attempt(second, 78, "e1")
+        assert submit(log, "c")
+        log.close()
+        log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+        live = [(one.trace_id, one.in_flight_since) for one in log.messages.live.values()]
+        assert live == [("b", 78), ("c", None)]
+        assert log.skipped_bytes == 0
+    assert log.repair()
+    assert not log.rewrite_failing
+    log.close()
+
+
+def test_start_in_new_directory_accepts_messages_while_rewrites_fail(tmp_path: Path) -> None:
+    with failing_calls(FailingDisk("replace", "EIO", 0, FOR_GOOD)):
+        log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+        assert submit(log, "a")
+        log.close()
+        log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+        assert list(log.messages.by_trace_id) == ["a"]
+        log.close()
+
+
 def test_kill_while_file_exceeds_its_limit_loses_nothing(tmp_path: Path) -> None:
     log = WriteAheadLog(tmp_path / "state", MAX_LOG_BYTES)
     submit_until_refused(log)
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -150,6 +150,29 @@
     assert world.attempt_count("early") == 0
 
 
+def test_restart_delivers_messages_although_the_log_cannot_be_rewritten(world: World) -> None:
+    """No file can be renamed. The messages of the log are delivered, further ones accepted, and a kill in
+    this state repeats no message that may not be."""
+
+    def not_rewritten_lines() -> int:
+        return (world.folder / "log").read_text().count("write-ahead log not rewritten")
+
+    world.start()
+    for destination, traffic_class in enumerate(("free", "once")):
+        assert world.submit(traffic_class, traffic_class, "hang 200", destination) == 202
+        wait_until(partial(attempted_once, world, traffic_class))
+    world.kill()
+    world.faults = ProcessFaults((CallFault(FaultyCall.RENAME, "EIO"),))
+    world.start()
+    wait_until(lambda: world.attempt_count("free") == 2 and world.notified("once") == ["undeliverable"])
+    assert world.submit("late", "once", "hang 200", 2) == 202
+    wait_until(lambda: world.attempt_count("late") == not_rewritten_lines() == 1)
+    world.kill()
+    world.start()
+    wait_until(lambda: world.notified("late") == ["undeliverable"] and not_rewritten_lines() == 2)
+    assert [world.attempt_count(trace_id) for trace_id in ("free", "once", "late")] == [2, 1, 1]
+
+
 def test_startup_waits_for_free_descriptors(world: World) -> None:
     """Guards against a start that fails when descriptors run out for a moment. The first socket is that of
     the first poll; the listening sockets follow, and the next five attempts to create a socket fail."""
