--- a/ashpath/server/delivery/rotating_file.py
+++ b/ashpath/server/delivery/rotating_file.py
@@ -10,41 +10,44 @@
 from contextlib import suppress
 from pathlib import Path
 
-from ashpath.server.storage.append import append_whole
+from ashpath.server.storage.append import AppendOnlyFile, ends_within_line
 
 FILE_MODE = 0o640
 
 
-class RotatingFile:
+class RotatingFile(AppendOnlyFile):
     """A full file is renamed to `.1`, the former `.1` to `.2`; the last of `kept_files` is deleted.
 
     `max_bytes`: limit of each file; a single append beyond it gets a file of its own."""
 
     def __init__(self, path: Path, max_bytes: int, kept_files: int) -> None:
-        """Opens the file. Raises OSError if it cannot be opened."""
+        """Opens the file. Raises OSError if it cannot be opened.
+
+        A line that a kill cut off stays in the file, and the next one follows after a line feed.
+        """
+        super().__init__()
         self.path = path
         self.max_bytes = max_bytes
         self.kept_files = kept_files
         self.open()
+        if ends_within_line(path):
+            self.separator = b"\n"
 
     def open(self) -> None:
         """Opens the current file for appending. Raises OSError if it cannot be opened."""
-        self.descriptor = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, FILE_MODE)
-        self.size = os.fstat(self.descriptor).st_size  # bytes
+        descriptor = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, FILE_MODE)
+        self.use(descriptor, os.fstat(descriptor).st_size)
 
     def append(self, data: bytes) -> None:
         """Appends `data`, after a rotation if needed. Raises OSError, with nothing of `data` in the file."""
-        if self.size and self.size + len(data) > self.max_bytes:
+        if self.written and self.written + len(data) > self.max_bytes:
             self.rotate()
-        append_whole(self.descriptor, data, self.size)
-        self.size += len(data)
+        super().append(data)
 
     def rotate(self) -> None:
         """Renames the full file and opens a new one. Raises OSError."""
         self.rename_files()
-        full = self.descriptor
         self.open()
-        os.close(full)
 
     def rename_files(self) -> None:
         """Renames each file to the next higher number; deletes the current file if none are kept."""
--- a/ashpath/server/storage/log_file.py
+++ b/ashpath/server/storage/log_file.py
@@ -20,8 +20,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-from ashpath.server.storage.append import append_whole
-from ashpath.server.storage.errors import LogNotOpenError, PartialWriteError
+from ashpath.server.storage.append import AppendOnlyFile, append_whole, write_whole
+from ashpath.server.storage.errors import LogNotOpenError
 
 TEMPORARY_SUFFIX = ".new"
 CHUNK_BYTES = 256 << 10  # buffered by a rewrite before each write
@@ -32,23 +32,16 @@
     return path.with_name(f"{path.name}{TEMPORARY_SUFFIX}")
 
 
-class LogFile:
+class LogFile(AppendOnlyFile):
     """A log that is open for appending from the first `rewrite` until `close`, in one process at a time.
 
     `open_existing` opens it too.
     """
 
     def __init__(self, path: Path) -> None:
+        super().__init__()
         self.path = path
         self.temporary = temporary_path(path)
-        self.descriptor = -1  # not open yet
-        self.written = 0  # bytes of complete records in the file
-        self.torn = False  # the file may have bytes of an incomplete record after them
-
-    @property
-    def is_open(self) -> bool:
-        """Whether records can be appended."""
-        return self.descriptor >= 0
 
     def append(self, data: bytes) -> None:
         """Appends all of `data` or nothing.
@@ -57,17 +50,7 @@
         """
         if not self.is_open:
             raise LogNotOpenError(self.path)
-        if self.torn:
-            os.ftruncate(self.descriptor, self.written)
-            self.torn = False
-        try:
-            append_whole(self.descriptor, data, self.written)
-        except OSError:
-            self.torn = True
-            with suppress(OSError):
-                self.torn = os.fstat(self.descriptor).st_size != self.written
-            raise
-        self.written += len(data)
+        super().append(data)
 
     def open_existing(self, valid_bytes: int, first_record: bytes) -> None:
         """Opens the file as it is, without what follows its valid records, and appends one record.
@@ -82,8 +65,7 @@
         except OSError:
             os.close(descriptor)
             raise
-        self.descriptor = descriptor
-        self.written = valid_bytes + len(first_record)
+        self.use(descriptor, valid_bytes + len(first_record))
 
     def rewrite(self, records: Iterable[bytes]) -> None:
         """Replaces the content with `records`. Raises OSError, in which case the file is unchanged."""
@@ -97,16 +79,7 @@
             with suppress(OSError):  # appends may need the space that an incomplete copy takes
                 self.temporary.unlink(missing_ok=True)
             raise
-        if self.is_open:
-            os.close(self.descriptor)
-        self.descriptor = descriptor
-        self.written = written
-        self.torn = False
-
-    def close(self) -> None:
-        """Closes the file. No data is pending, since each record is written as it is appended."""
-        if self.is_open:
-            os.close(self.descriptor)
+        self.use(descriptor, written)
 
 
 def write_all(descriptor: int, records: Iterable[bytes]) -> int:
@@ -119,19 +92,9 @@
     for record in records:
         chunk += record
         if len(chunk) >= CHUNK_BYTES:
-            written += write_chunk(descriptor, bytes(chunk))
+            write_whole(descriptor, bytes(chunk))
+            written += len(chunk)
             chunk.clear()
-    return written + write_chunk(descriptor, bytes(chunk))
-
-
-def write_chunk(descriptor: int, chunk: bytes) -> int:
-    """Writes one chunk and returns the bytes written.
-
-    Raises PartialWriteError if the write is short, and any other OSError of the write.
-    """
-    if not chunk:
-        return 0
-    written = os.write(descriptor, chunk)
-    if written < len(chunk):
-        raise PartialWriteError(written, len(chunk))
-    return written
+    if chunk:
+        write_whole(descriptor, bytes(chunk))
+    return written + len(chunk)
--- a/tests/server/storage/test_outcome_store.py
+++ b/tests/server/storage/test_outcome_store.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 
 import pytest
+from support.failing_disk import FOR_GOOD, SHORT, FailingDisk, failing_calls
 from support.loggers import RecordingLogger, error_raising_logger
 
 from ashpath.server.storage.final_state import FinalState
@@ -70,6 +71,32 @@
     assert reopened.trace_ids() == ["unwritten", "unwritten2"]
 
 
+def test_line_written_after_a_torn_one_is_read_although_truncation_failed(tmp_path: Path) -> None:
+    """The torn line is truncated before the next write, and written again before the next line."""
+    store = OutcomeStore(tmp_path, MAX_BYTES, RETENTION_US, RecordingLogger().logger)
+    store.add("first", FinalState.DELIVERED)
+    with failing_calls(FailingDisk("write", SHORT, 0, 1), FailingDisk("ftruncate", "EIO", 0, 1)):
+        store.add("second", FinalState.DELIVERED)
+        store.add("third", FinalState.DELIVERED)
+    store.close()
+    assert open_store(tmp_path).trace_ids() == ["first", "second", "third"]
+
+
+def test_store_opens_on_a_full_disk_with_a_torn_line(tmp_path: Path) -> None:
+    store = open_store(tmp_path)
+    store.add("first", FinalState.DELIVERED)
+    store.close()
+    with (tmp_path / "ends").open("ab") as file:
+        file.write(b'["torn","comp')
+    with failing_calls(FailingDisk("write", "ENOSPC", 0, FOR_GOOD)):
+        store = OutcomeStore(tmp_path, MAX_BYTES, RETENTION_US, RecordingLogger().logger)
+        store.add("second", FinalState.DELIVERED)
+        assert store.needs_repair
+    assert store.repair()
+    store.close()
+    assert open_store(tmp_path).trace_ids() == ["first", "second"]
+
+
 def test_final_state_is_forgotten_after_retention_time(tmp_path: Path) -> None:
     store = open_store(tmp_path)
     store.add("next", FinalState.REJECTED, 500)
