--- a/ashpath/server/storage/state_directory.py
+++ b/ashpath/server/storage/state_directory.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import os
+from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
@@ -94,12 +95,14 @@
     def write(self, traffic_classes: list[dict[str, Any]]) -> None:
         """Writes the process id and the imprint, before a message is accepted under these traffic classes.
 
-        The imprint is replaced atomically. Raises StateDirectoryError if a file cannot be written.
+        The imprint is replaced atomically. Raises StateDirectoryError if it cannot be written; a process id
+        that cannot be written is missing in an error message only.
         """
         content = {"version": VERSION, "sender": self.sender, "tracks": traffic_classes}
-        try:
+        with suppress(OSError):
             os.truncate(self._lock.descriptor, 0)
             os.pwrite(self._lock.descriptor, b"%d\n" % os.getpid(), 0)
+        try:
             if traffic_classes != self.traffic_classes or not self.imprint.exists():
                 replace_file(self.imprint, orjson.dumps(content), self.path / f"{IMPRINT_FILE}.new")
         except OSError as error:
--- a/tests/server/storage/test_state_directory.py
+++ b/tests/server/storage/test_state_directory.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 import pytest
+from support.failing_disk import FOR_GOOD, FailingDisk, failing_calls
 
 from ashpath.server.storage.errors import StateDirectoryError
 from ashpath.server.storage.state_directory import StateDirectory
@@ -84,6 +85,23 @@
     reopened.close()
 
 
+@pytest.mark.parametrize("error", ["ENOSPC", "EIO"])
+@pytest.mark.parametrize("call", ["pwrite", "truncate"])
+def test_existing_directory_is_used_although_the_process_id_is_not_written(
+    tmp_path: Path, call: str, error: str
+) -> None:
+    """A start on a full disk goes on, as it has nothing else to write; a new traffic class ends it."""
+    write_earlier_state(tmp_path)
+    directory = StateDirectory(tmp_path, "n0")
+    with failing_calls(FailingDisk(call, error, 0, FOR_GOOD), FailingDisk("replace", error, 0, FOR_GOOD)):
+        directory.write(CLASSES[:1])
+        with pytest.raises(StateDirectoryError, match="injected"):
+            directory.write(CLASSES)
+    with pytest.raises(StateDirectoryError, match="in use by another sender"):
+        StateDirectory(tmp_path, "n0")
+    directory.close()
+
+
 def test_second_sender_on_same_directory_is_refused(tmp_path: Path) -> None:
     first = StateDirectory(tmp_path, "n0")
     first.write([])
