--- a/ashpath/server/adoption.py
+++ b/ashpath/server/adoption.py
@@ -3,8 +3,8 @@
 Theory of operation: the platform hands the clients' listening socket to a second process of the same sender,
 and then sends SIGTERM to the first. Each process writes a log of its own; the log of a process that has ended
 is an orphan. `OrphanAdopter` checks for orphans as long as its process runs, and so also finds the log of a
-process that was killed. A process that binds the address itself has no other process beside it, and adopts
-nothing.
+process that was killed. A process that binds the address itself has no other process beside it. It adopts the
+logs of earlier processes as it opens its own, and has an `OrphanAdopter` only if some of them are left.
 """
 
 from __future__ import annotations
--- a/ashpath/server/sender.py
+++ b/ashpath/server/sender.py
@@ -85,7 +85,7 @@
     control: ControlListener | None
     discovery: DiscoveryClient | None
     orphan_adopter: OrphanAdopter | None
-    """None in a process that binds the clients' address itself, as the sender has no other process then."""
+    """None if no other process of the sender can exist and none left a log."""
     gossip: GossipService
     metrics: MetricsService
     settings_switch: SettingsSwitch
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -33,6 +33,7 @@
 
 from __future__ import annotations
 
+import os
 from contextlib import suppress
 from itertools import chain
 from pathlib import Path
@@ -76,6 +77,7 @@
         self.messages = LiveMessages()
         """Read-only for other classes: only this class changes the table, together with the log."""
         self.other_logs_bytes = 0  # bytes that other processes' logs may need, as of the last `adopt`
+        self.may_have_orphans = True  # False if no other log had records after the last `adopt`
         self._directory = LogDirectory(directory)
         self._lock: FileLock | None = None  # None: unclaimed, and `file` must not be touched
         self.file = LogFile(directory / FIRST_LOG)
@@ -85,6 +87,7 @@
         self.skipped_bytes = (
             0  # bytes of torn records that were skipped as the claimed log was read, before valid records
         )
+        self._foreign_inodes: set[int] = set()  # of orphans that another version wrote
         self._copied: set[Path] = set()  # orphans whose messages are in this log and that are not emptied yet
         try:
             claimed = self._directory.claim()
@@ -137,16 +140,14 @@
                 orphan.lock.release()
         with suppress(OSError):  # the caller still has to receive the adopted messages
             self.other_logs_bytes = self._directory.other_logs_bytes(self.file.path)
+            self.may_have_orphans = self.other_logs_bytes > 0
         return adopted
 
     def _adopt_log(self, path: Path) -> list[StoredMessage]:
         """Adopts the messages of one orphan, whose lock is held; the result is empty if the orphan cannot be
         read or this log cannot be written. The next `adopt` tries again then."""
-        orphaned = LiveMessages()
         try:
-            if path not in self._copied:
-                with path.open("rb") as file:
-                    orphaned.read(RecordReader(file))
+            orphaned = self._read_orphan(path)
         except (OSError, ForeignRecordError):
             return []
         adopted = self._adopt_messages(orphaned)
@@ -162,6 +163,26 @@
             self._copied.discard(path)
         return adopted
 
+    def _read_orphan(self, path: Path) -> LiveMessages:
+        """Returns the messages of an orphan; none if they are copied already.
+
+        Raises OSError, and ForeignRecordError for a log of another version, which is read once only: to read
+        it at each `adopt` would hold up the sender.
+        """
+        orphaned = LiveMessages()
+        if path in self._copied:
+            return orphaned
+        with path.open("rb") as file:
+            inode = os.fstat(file.fileno()).st_ino
+            if inode in self._foreign_inodes:
+                raise ForeignRecordError(0, "read before")
+            try:
+                orphaned.read(RecordReader(file))
+            except ForeignRecordError:
+                self._foreign_inodes.add(inode)
+                raise
+        return orphaned
+
     def _adopt_messages(self, orphaned: LiveMessages) -> list[StoredMessage]:
         adopted = []
         for message in orphaned.live.values():
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -225,8 +225,12 @@
 def create_orphan_adopter(
     process_options: ProcessOptions, limits: ServerLimits, delivery: DeliveryPath, logger: Logger
 ) -> OrphanAdopter | None:
-    """Creates the adopter of orphaned logs, or returns None if no other process of this sender can exist."""
-    if process_options.inherited_socket is None:
+    """Creates the adopter of orphaned logs, or returns None if there are none and never will be any.
+
+    A process that binds the address itself has no other process beside it; orphans of earlier processes are
+    left if the disk failed as the write-ahead log was opened.
+    """
+    if process_options.inherited_socket is None and not delivery.write_ahead_log.may_have_orphans:
         return None
     return OrphanAdopter(delivery.write_ahead_log, delivery.policy_runner, limits.adoption_interval_s, logger)
 
--- a/tests/server/storage/test_failing_disk.py
+++ b/tests/server/storage/test_failing_disk.py
@@ -209,6 +209,32 @@
             log.close()
 
 
+def test_orphans_left_by_a_failed_adoption_are_known(tmp_path: Path) -> None:
+    orphaned_logs(tmp_path, "journal-1")
+    with failing_calls(FailingDisk("replace", "EIO", 0, FOR_GOOD)):
+        log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    assert log.may_have_orphans
+    assert [one.trace_id for one in log.adopt()] == ["journal-1"]
+    assert not log.may_have_orphans
+    log.close()
+
+
+def test_orphan_of_another_version_is_read_once_and_left(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    (tmp_path / "journal-1").write_bytes(encode_fields(["foreign", 1]))
+    log = WriteAheadLog(tmp_path, MAX_LOG_BYTES)
+    with monkeypatch.context() as patch:
+        patch.setattr(RecordReader, "__iter__", Mock(side_effect=AssertionError("read again")))
+        assert log.adopt() == []
+    assert log.may_have_orphans
+    assert (tmp_path / "journal-1").read_bytes() == encode_fields(["foreign", 1])
+    orphaned_logs(tmp_path, "journal-2")  # another file of the same name is read
+    (tmp_path / "journal-2").rename(tmp_path / "journal-1")
+    assert [one.trace_id for one in log.adopt()] == ["journal-2"]
+    log.close()
+
+
 def test_start_that_cannot_read_its_log_releases_the_lock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -173,6 +173,24 @@
     assert [world.attempt_count(trace_id) for trace_id in ("free", "once", "late")] == [2, 1, 1]
 
 
+def test_log_that_the_start_could_not_adopt_is_adopted_later(world: World) -> None:
+    """A process killed in a hot upgrade left a log of its own. The next process binds the address itself, and
+    the disk fails while it opens the logs."""
+    world.start()
+    world.kill()
+    left = WriteAheadLog(world.folder / "left", LIMITS.disk_bytes)
+    assert left.record_submitted(
+        StoredMessage(1, "left", 0, 1, None, None, stored_time() + 30_000_000, b"200")
+    )
+    left.close()
+    left.file.path.rename(world.folder / "state" / "journal-7")
+    world.faults = ProcessFaults((CallFault(FaultyCall.RENAME, "EIO", count=2),))  # both logs' rewrites
+    world.start()
+    wait_until(partial(attempted_once, world, "left"))
+    wait_until(lambda: not (world.folder / "state" / "journal-7").exists())
+    wait_until(lambda: not live_messages(world))
+
+
 def test_startup_waits_for_free_descriptors(world: World) -> None:
     """Guards against a start that fails when descriptors run out for a moment. The first socket is that of
     the first poll; the listening sockets follow, and the next five attempts to create a socket fail."""
