--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -33,7 +33,6 @@
 
 from __future__ import annotations
 
-import os
 from contextlib import suppress
 from itertools import chain
 from pathlib import Path
@@ -47,9 +46,9 @@
     FIRST_LOG,
     LockedLog,
     LogDirectory,
-    clear_adopted,
 )
 from ashpath.server.storage.log_file import LogFile
+from ashpath.server.storage.orphaned_logs import OrphanedLogs
 from ashpath.server.storage.record_codec import (
     AttemptFinished,
     AttemptStarted,
@@ -87,8 +86,7 @@
         self.skipped_bytes = (
             0  # bytes of torn records that were skipped as the claimed log was read, before valid records
         )
-        self._foreign_inodes: set[int] = set()  # of orphans that another version wrote
-        self._copied: set[Path] = set()  # orphans whose messages are in this log and that are not emptied yet
+        self._orphaned_logs = OrphanedLogs()
         try:
             claimed = self._directory.claim()
         except OSError as error:
@@ -147,7 +145,7 @@
         """Adopts the messages of one orphan, whose lock is held; the result is empty if the orphan cannot be
         read or this log cannot be written. The next `adopt` tries again then."""
         try:
-            orphaned = self._read_orphan(path)
+            orphaned = self._orphaned_logs.read(path)
         except (OSError, ForeignRecordError):
             return []
         adopted = self._adopt_messages(orphaned)
@@ -157,32 +155,9 @@
             for message in adopted:
                 self.messages.discard(message)
             return []
-        self._copied.add(path)  # must not be adopted again once its messages are finished here
-        with suppress(OSError):
-            clear_adopted(path)
-            self._copied.discard(path)
+        self._orphaned_logs.clear(path)
         return adopted
 
-    def _read_orphan(self, path: Path) -> LiveMessages:
-        """Returns the messages of an orphan; none if they are copied already.
-
-        Raises OSError, and ForeignRecordError for a log of another version, which is read once only: to read
-        it at each `adopt` would hold up the sender.
-        """
-        orphaned = LiveMessages()
-        if path in self._copied:
-            return orphaned
-        with path.open("rb") as file:
-            inode = os.fstat(file.fileno()).st_ino
-            if inode in self._foreign_inodes:
-                raise ForeignRecordError(0, "read before")
-            try:
-                orphaned.read(RecordReader(file))
-            except ForeignRecordError:
-                self._foreign_inodes.add(inode)
-                raise
-        return orphaned
-
     def _adopt_messages(self, orphaned: LiveMessages) -> list[StoredMessage]:
         adopted = []
         for message in orphaned.live.values():
