--- a/ashpath/server/storage/log_file.py
+++ b/ashpath/server/storage/log_file.py
@@ -20,8 +20,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-from ashpath.server.storage.append import append_whole
-from ashpath.server.storage.errors import LogNotOpenError, PartialWriteError
+from ashpath.server.storage.append import AppendOnlyFile, append_whole, write_whole
+from ashpath.server.storage.errors import LogNotOpenError
 
 TEMPORARY_SUFFIX = ".new"
 CHUNK_BYTES = 256 << 10  # buffered by a rewrite before each write
@@ -32,34 +32,40 @@
     return path.with_name(f"{path.name}{TEMPORARY_SUFFIX}")
 
 
-class LogFile:
-    """A log that is open for appending from the first `rewrite` until `close`, in one process at a time."""
+class LogFile(AppendOnlyFile):
+    """A log that is open for appending from the first `rewrite` until `close`, in one process at a time.
+
+    `open_existing` opens it too.
+    """
 
     def __init__(self, path: Path) -> None:
+        super().__init__()
         self.path = path
         self.temporary = temporary_path(path)
-        self.descriptor = -1  # not open yet
-        self.written = 0  # bytes of complete records in the file
-        self.torn = False  # the file may have bytes of an incomplete record after them
 
     def append(self, data: bytes) -> None:
         """Appends all of `data` or nothing.
 
-        Raises LogNotOpenError before the first rewrite, and OSError if the write or a truncation fails.
+        Raises LogNotOpenError before the log is open, and OSError if the write or a truncation fails.
         """
-        if self.descriptor < 0:
+        if not self.is_open:
             raise LogNotOpenError(self.path)
-        if self.torn:
-            os.ftruncate(self.descriptor, self.written)
-            self.torn = False
+        super().append(data)
+
+    def open_existing(self, valid_bytes: int, first_record: bytes) -> None:
+        """Opens the file as it is, without what follows its valid records, and appends one record.
+
+        For a start whose rewrite fails; the file is created if it does not exist. Raises OSError, in which
+        case the log is not open.
+        """
+        descriptor = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o666)
         try:
-            append_whole(self.descriptor, data, self.written)
+            os.ftruncate(descriptor, valid_bytes)
+            append_whole(descriptor, first_record, valid_bytes)
         except OSError:
-            self.torn = True
-            with suppress(OSError):
-                self.torn = os.fstat(self.descriptor).st_size != self.written
+            os.close(descriptor)
             raise
-        self.written += len(data)
+        self.use(descriptor, valid_bytes + len(first_record))
 
     def rewrite(self, records: Iterable[bytes]) -> None:
         """Replaces the content with `records`. Raises OSError, in which case the file is unchanged."""
@@ -70,17 +76,10 @@
             os.replace(self.temporary, self.path)
         except OSError:
             os.close(descriptor)
+            with suppress(OSError):  # appends may need the space that an incomplete copy takes
+                self.temporary.unlink(missing_ok=True)
             raise
-        if self.descriptor >= 0:
-            os.close(self.descriptor)
-        self.descriptor = descriptor
-        self.written = written
-        self.torn = False
-
-    def close(self) -> None:
-        """Closes the file. No data is pending, since each record is written as it is appended."""
-        if self.descriptor >= 0:
-            os.close(self.descriptor)
+        self.use(descriptor, written)
 
 
 def write_all(descriptor: int, records: Iterable[bytes]) -> int:
@@ -93,19 +92,9 @@
     for record in records:
         chunk += record
         if len(chunk) >= CHUNK_BYTES:
-            written += write_chunk(descriptor, bytes(chunk))
+            write_whole(descriptor, bytes(chunk))
+            written += len(chunk)
             chunk.clear()
-    return written + write_chunk(descriptor, bytes(chunk))
-
-
-def write_chunk(descriptor: int, chunk: bytes) -> int:
-    """Writes one chunk and returns the bytes written.
-
-    Raises PartialWriteError if the write is short, and any other OSError of the write.
-    """
-    if not chunk:
-        return 0
-    written = os.write(descriptor, chunk)
-    if written < len(chunk):
-        raise PartialWriteError(written, len(chunk))
-    return written
+    if chunk:
+        write_whole(descriptor, bytes(chunk))
+    return written + len(chunk)
--- a/ashpath/server/storage/write_ahead_log.py
+++ b/ashpath/server/storage/write_ahead_log.py
@@ -11,12 +11,20 @@
 | `record_submitted` | the message is not accepted |
 | `record_attempt` | the error is raised: an attempt without a record could run twice after a restart |
 | `record_outcome`, `record_finished` | the event applies in this incarnation, and the log is incomplete |
-| the rewrite at the start | the log is incomplete; its live messages stay in the file unchanged |
+| a rewrite | the file stays in use, and only new messages respect `max_bytes` |
+| the rewrite at the start, and the first append | the log is incomplete; its file has its live messages |
 
-An incomplete log is rewritten before any further record is appended, and by `repair` as soon as a rewrite
-succeeds: an attempt recorded after a missing outcome would hide that the attempt before it may have run. If
-the process is killed before that, the next incarnation finds an attempt that may have run, or sends a notice
-a second time.
+The missing records of an incomplete log are written before any further record, or the log is rewritten: an
+attempt recorded after a missing outcome would hide that the attempt before it may have run. If the process is
+killed before that, the next incarnation finds an attempt that may have run, or sends a notice a second time.
+
+While rewrites fail, no message is accepted that would need one. Attempts and outcomes of accepted messages
+are still appended, beyond `max_bytes` if need be: delivery goes on, and the number of accepted messages
+bounds the growth. `LogRepairer` logs both and repeats the rewrite.
+
+A new directory on a failing disk may take no lock file. The constructor leaves the log unclaimed then:
+nothing is accepted, no file is touched, and each rewrite tries to claim the log first. It claims an unused
+log only, as the messages of a used log have to be restored at a start or by an adoption.
 
 The logs of processes that have ended are adopted (`log_directory.py`): their live messages get new ids and
 are written to this log, and only then is the other log emptied. A kill in between leaves a message in both
@@ -26,12 +34,21 @@
 from __future__ import annotations
 
 from contextlib import suppress
+from itertools import chain
 from pathlib import Path
 
 from ashpath.server.storage.errors import ForeignRecordError, LogIncompleteError
+from ashpath.server.storage.file_lock import FileLock
 from ashpath.server.storage.live_messages import LiveMessages, reserved_bytes
-from ashpath.server.storage.log_directory import BLOCK_BYTES, LogDirectory, clear_adopted
+from ashpath.server.storage.log_directory import (
+    BLOCK_BYTES,
+    DISK_ERRORS,
+    FIRST_LOG,
+    LockedLog,
+    LogDirectory,
+)
 from ashpath.server.storage.log_file import LogFile
+from ashpath.server.storage.orphaned_logs import OrphanedLogs
 from ashpath.server.storage.record_codec import (
     AttemptFinished,
     AttemptStarted,
@@ -49,7 +66,8 @@
     """The log of one process, and its live messages: its own, and those adopted from orphaned logs.
 
     The constructor raises LogLockedError if the log is locked, ForeignRecordError if another version wrote
-    a record of the log, and OSError if the log cannot be opened or read.
+    a record of the log, and OSError if the log cannot be opened or read. In a new directory on a failing disk
+    it raises nothing.
     """
 
     def __init__(self, directory: Path, max_bytes: int) -> None:
@@ -58,54 +76,76 @@
         self.messages = LiveMessages()
         """Read-only for other classes: only this class changes the table, together with the log."""
         self.other_logs_bytes = 0  # bytes that other processes' logs may need, as of the last `adopt`
+        self.may_have_orphans = True  # False if no other log had records after the last `adopt`
         self._directory = LogDirectory(directory)
-        claimed = self._directory.claim()
-        self._lock = claimed.lock
-        self.file = LogFile(claimed.path)
-        self.incomplete = False  # the file lacks records that are applied to `messages`
+        self._lock: FileLock | None = None  # None: unclaimed, and `file` must not be touched
+        self.file = LogFile(directory / FIRST_LOG)
+        self.rewrite_failing = True  # until a rewrite succeeds, and again from a failed one on
+        self._valid_bytes = 0  # of the file as it was read, up to the end of its last valid record
+        self._unwritten: list[bytes] = []  # records that are applied to `messages` and missing in the file
         self.skipped_bytes = (
             0  # bytes of torn records that were skipped as the claimed log was read, before valid records
         )
-        self._copied: set[Path] = set()  # orphans whose messages are in this log and that are not emptied yet
-        if claimed.path.exists():
-            self._read(claimed.path)
+        self._orphaned_logs = OrphanedLogs()
+        try:
+            claimed = self._directory.claim()
+        except OSError as error:
+            if error.errno not in DISK_ERRORS or not self._directory.is_new():
+                raise
+        else:
+            self._open(claimed)
+
+    def _open(self, claimed: LockedLog) -> None:
+        """Reads and rewrites the log of the last incarnation, if there is one, and adopts orphaned logs."""
+        self._use(claimed)
+        try:
+            self._read()
+        except (OSError, ForeignRecordError):
+            claimed.lock.release()
+            raise
         with suppress(OSError):
             self.file.temporary.unlink(missing_ok=True)
-        self.incomplete = True  # until the rewrite has succeeded
-        with suppress(OSError):
-            self._rewrite()
+        self._rewrite_or_append()
         with suppress(OSError):
             self.adopt()
 
-    def _read(self, path: Path) -> None:
-        with path.open("rb") as file:
+    def _use(self, claimed: LockedLog) -> None:
+        self._lock = claimed.lock
+        self.file = LogFile(claimed.path)
+
+    def _read(self) -> None:
+        if not self.file.path.exists():
+            return
+        with self.file.path.open("rb") as file:
             reader = RecordReader(file)
             self.messages.read(reader)
             self.skipped_bytes = reader.skipped_bytes
+            self._valid_bytes = reader.offset
 
     def adopt(self) -> list[StoredMessage]:
         """Adopts the live messages of logs whose process has ended, and returns them with their new ids.
 
         A log that cannot be read is left unchanged, for inspection by `ashpath ledger`. Raises OSError if the
-        state directory cannot be read or a lock file cannot be opened.
+        state directory cannot be listed, and adopts nothing then, as while this log is unclaimed.
         """
         adopted: list[StoredMessage] = []
+        if self._lock is None:
+            return adopted
         for orphan in self._directory.orphans(self.file.path):
             try:
                 adopted += self._adopt_log(orphan.path)
             finally:
                 orphan.lock.release()
-        self.other_logs_bytes = self._directory.other_logs_bytes(self.file.path)
+        with suppress(OSError):  # the caller still has to receive the adopted messages
+            self.other_logs_bytes = self._directory.other_logs_bytes(self.file.path)
+            self.may_have_orphans = self.other_logs_bytes > 0
         return adopted
 
     def _adopt_log(self, path: Path) -> list[StoredMessage]:
         """Adopts the messages of one orphan, whose lock is held; the result is empty if the orphan cannot be
         read or this log cannot be written. The next `adopt` tries again then."""
-        orphaned = LiveMessages()
         try:
-            if path not in self._copied:
-                with path.open("rb") as file:
-                    orphaned.read(RecordReader(file))
+            orphaned = self._orphaned_logs.read(path)
         except (OSError, ForeignRecordError):
             return []
         adopted = self._adopt_messages(orphaned)
@@ -115,10 +155,7 @@
             for message in adopted:
                 self.messages.discard(message)
             return []
-        self._copied.add(path)  # must not be adopted again once its messages are finished here
-        with suppress(OSError):
-            clear_adopted(path)
-            self._copied.discard(path)
+        self._orphaned_logs.clear(path)
         return adopted
 
     def _adopt_messages(self, orphaned: LiveMessages) -> list[StoredMessage]:
@@ -137,7 +174,10 @@
         if REWRITE_FACTOR * needed > self.max_bytes - BLOCK_BYTES - self.other_logs_bytes:
             return False
         try:
-            self._append(data)
+            self._complete()
+            if not self._make_room(len(data)):
+                return False
+            self.file.append(data)
         except OSError:
             return False
         self.messages.add(message, len(data))
@@ -162,42 +202,95 @@
 
     def _record_if_live(self, record: AttemptFinished | MessageFinished) -> None:
         if record.message_id in self.messages.live:
+            data = record.encode()
             try:
-                self._append(record.encode())
+                self._append(data)
             except OSError:
-                self.incomplete = True
+                self._unwritten.append(data)
             self.messages.apply(record)
 
+    @property
+    def incomplete(self) -> bool:
+        """Whether the file lacks records that are applied to `messages`, or is not open yet."""
+        return bool(self._unwritten) or not self.file.is_open
+
     @property
     def needs_repair(self) -> bool:
         """Whether a failed write is still to be repeated, or a torn record to be truncated."""
         return self.incomplete or self.file.torn
 
     def repair(self) -> bool:
-        """Rewrites the log with all live messages; returns False if the write fails.
+        """Rewrites the log with all live messages, or at least appends the records whose write failed.
 
-        The rewritten log always has a record without effect: a full disk accepts an empty log, and would lose
-        a message whose final state has not been written to another file either."""
-        live = [MessageSubmitted(message).encode() for message in self.messages.live.values()]
+        Returns False if neither succeeds. The rewritten log always has a record without effect: a full disk
+        accepts an empty log, and would lose a message whose final state has not been written to another file
+        either.
+        """
+        return self._rewrite_or_append(NO_OP_RECORD)
+
+    def _rewrite_or_append(self, *further_records: bytes) -> bool:
+        try:
+            self._rewrite(*further_records)
+        except OSError:
+            return self._append_unwritten()
+        return True
+
+    def _append_unwritten(self) -> bool:
         try:
-            self.file.rewrite([*live, NO_OP_RECORD])
+            self._open_existing()
+            self.file.append(b"".join(self._unwritten))
         except OSError:
             return False
-        self.incomplete = False
+        self._unwritten.clear()
         return True
 
+    def _open_existing(self) -> None:
+        """Opens the file that was read at the start and that no rewrite could replace, unless it is open."""
+        if self._lock is not None and not self.file.is_open:
+            self.file.open_existing(self._valid_bytes, NO_OP_RECORD)
+
     def _append(self, data: bytes) -> None:
-        if self.incomplete and not self.repair():
-            raise LogIncompleteError(self.file.path)
-        if self.file.written + len(data) + self.messages.reserved_bytes + BLOCK_BYTES > self.max_bytes:
-            self._rewrite()
+        """Appends a record of an accepted message, even if the log has no room and cannot be rewritten."""
+        self._complete()
+        self._make_room(len(data))
         self.file.append(data)
 
-    def _rewrite(self) -> None:
-        self.file.rewrite(MessageSubmitted(message).encode() for message in self.messages.live.values())
-        self.incomplete = False
+    def _complete(self) -> None:
+        """Writes the missing records, by a rewrite only if the last one succeeded; see `_make_room`."""
+        if not self.incomplete or self._append_unwritten():
+            return
+        if self.rewrite_failing or not self.repair():
+            raise LogIncompleteError(self.file.path)
+
+    def _make_room(self, size: int) -> bool:
+        """Rewrites the log if it has no room for `size` bytes and a copy of the live messages.
+
+        Returns False if that fails, and also without a try if the last rewrite failed: `repair` repeats it,
+        as a rewrite for each record would hold up the sender.
+        """
+        if self.file.written + size + self.messages.reserved_bytes + BLOCK_BYTES <= self.max_bytes:
+            return True
+        if not self.rewrite_failing:
+            with suppress(OSError):
+                self._rewrite()
+        return not self.rewrite_failing
+
+    def _rewrite(self, *further_records: bytes) -> None:
+        live = (MessageSubmitted(message).encode() for message in self.messages.live.values())
+        self.rewrite_failing = True
+        if self._lock is None:
+            self._claim_unused()
+        self.file.rewrite(chain(live, further_records))
+        self.rewrite_failing = False
+        self._unwritten.clear()
+
+    def _claim_unused(self) -> None:
+        self._use(self._directory.claim(unused=True))
+        with suppress(OSError):
+            self.other_logs_bytes = self._directory.other_logs_bytes(self.file.path)
 
     def close(self) -> None:
         """Closes and unlocks the log, which another process may then claim or adopt."""
         self.file.close()
-        self._lock.release()
+        if self._lock is not None:
+            self._lock.release()
--- a/benchmarks/slow_start_budget.py
+++ b/benchmarks/slow_start_budget.py
@@ -22,7 +22,7 @@
 
 from support.recovery_cases import RecoveryCase, all_cases
 
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -131,6 +131,66 @@
     recovered_endpoint.stop()
 
 
+def test_sender_in_a_new_directory_on_a_full_disk_accepts_once_the_disk_has_room(world: World) -> None:
+    """No lock file can be made at first: the sender starts and rejects messages. Once files can be made it
+    accepts messages, which a kill does not lose."""
+    world.faults = ProcessFaults((CallFault(FaultyCall.OPEN, "ENOSPC", count=24),))
+    world.start()
+    assert world.submit("early", "free", "200", 1) == 503
+    assert not list((world.folder / "state").glob("journal*"))
+    wait_until(lambda: world.submit("late", "once", "hang", 1) == 202)
+    wait_until(partial(attempted_once, world, "late"))
+    lines = (world.folder / "log").read_text()
+    assert lines.count("write-ahead log behind") == lines.count("write-ahead log whole again") == 1
+    world.kill()
+    world.faults = None
+    world.start()
+    wait_until(lambda: world.notified("late") == ["undeliverable"])
+    assert world.attempt_count("late") == 1
+    assert world.attempt_count("early") == 0
+
+
+def test_restart_delivers_messages_although_the_log_cannot_be_rewritten(world: World) -> None:
+    """No file can be renamed. The messages of the log are delivered, further ones accepted, and a kill in
+    this state repeats no message that may not be."""
+
+    def not_rewritten_lines() -> int:
+        return (world.folder / "log").read_text().count("write-ahead log not rewritten")
+
+    world.start()
+    for destination, traffic_class in enumerate(("free", "once")):
+        assert world.submit(traffic_class, traffic_class, "hang 200", destination) == 202
+        wait_until(partial(attempted_once, world, traffic_class))
+    world.kill()
+    world.faults = ProcessFaults((CallFault(FaultyCall.RENAME, "EIO"),))
+    world.start()
+    wait_until(lambda: world.attempt_count("free") == 2 and world.notified("once") == ["undeliverable"])
+    assert world.submit("late", "once", "hang 200", 2) == 202
+    wait_until(lambda: world.attempt_count("late") == not_rewritten_lines() == 1)
+    world.kill()
+    world.start()
+    wait_until(lambda: world.notified("late") == ["undeliverable"] and not_rewritten_lines() == 2)
+    assert [world.attempt_count(trace_id) for trace_id in ("free", "once", "late")] == [2, 1, 1]
+
+
+def test_log_that_the_start_could_not_adopt_is_adopted_later(world: World) -> None:
+    """A process killed in a hot upgrade left a log of its own. The next process binds the address itself, and
+    the disk fails while it opens the logs."""
+    world.start()
+    world.kill()
+    left = WriteAheadLog(world.folder / "left", LIMITS.disk_bytes)
+    assert left.record_submitted(
+        StoredMessage(1, "left", 0, 1, None, None, stored_time() + 30_000_000, b"200")
+    )
+    left.close()
+    left.file.path.rename(world.folder / "state" / "journal-7")
+    world.faults = ProcessFaults((CallFault(FaultyCall.RENAME, "EIO", count=2),))  # both logs' rewrites
+    world.start()
+    wait_until(partial(attempted_once, world, "left"))
+    wait_until(lambda: not (world.folder / "state" / "journal-7").exists())
+    wait_until(lambda: not live_messages(world))
+
+
 def test_startup_waits_for_free_descriptors(world: World) -> None:
     """Guards against a start that fails when descriptors run out for a moment. The first socket is that of
     the first poll; the listening sockets follow, and the next five attempts to create a socket fail."""
--- a/tests/support/recovery_cases.py
+++ b/tests/support/recovery_cases.py
@@ -13,7 +13,7 @@
 
 from ashpath.core.interface import PolicySettings
 from ashpath.core.policy_settings import sender_settings
-from ashpath.core.statistics import SECOND
+from ashpath.core.time_units import SECOND
 from support.fleet import Fleet, Restart, RestartMethod
 from support.sites import SITE_NAMES, read, settings
 
