--- a/ashpath/emulator/fault_injection/tcp_proxy.py
+++ b/ashpath/emulator/fault_injection/tcp_proxy.py
@@ -10,8 +10,8 @@
 | HALF_RESPONSE | the first half of the bytes that the target sends first, and no further byte |
 
 A connection keeps the mode under which it was accepted. `reset_connections` ends the open connections: the
-caller's side is reset, and the target's side is closed. `FullBacklog` is an address at which connection
-attempts neither succeed nor fail.
+caller's side is reset, and the target's side is closed. A reset by the target is passed on to the caller.
+`FullBacklog` is an address at which connection attempts neither succeed nor fail.
 """
 
 from __future__ import annotations
@@ -97,6 +97,9 @@
 
     def _forward(self, caller: socket.socket, *, half: bool) -> None:
         target = socket.create_connection(self.target)
+        if caller not in self._open:  # reset meanwhile
+            target.close()
+            return
         self._open[caller] = target
         requests = gevent.spawn(copy, caller, target)
         try:
@@ -104,18 +107,24 @@
                 chunk = target.recv(CHUNK_BYTES)
                 caller.sendall(chunk[: len(chunk) // 2])
                 gevent.sleep(SILENCE_S)
-            copy(target, caller)
+            if copy(target, caller):
+                reset_connection(caller)
         finally:
             requests.kill()
             target.close()
 
 
-def copy(source: socket.socket, sink: socket.socket) -> None:
-    """Copies bytes until either side closes its connection."""
-    with suppress(OSError):
+def copy(source: socket.socket, sink: socket.socket) -> bool:
+    """Copies bytes until either side closes its connection. Returns whether a connection was reset."""
+    try:
         while chunk := source.recv(CHUNK_BYTES):
             sink.sendall(chunk)
         sink.shutdown(socket.SHUT_WR)
+    except ConnectionResetError:
+        return True
+    except OSError:
+        pass
+    return False
 
 
 class FullBacklog:
--- a/ashpath/emulator/soak/day.py
+++ b/ashpath/emulator/soak/day.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 from random import Random
 from time import monotonic
@@ -17,9 +18,11 @@
 from ashpath.emulator.soak.clients import SoakClients
 from ashpath.emulator.soak.endpoints import SoakEndpoint
 from ashpath.emulator.soak.judge import RuleCheckerSettings
+from ashpath.emulator.soak.paths import ClientPath
 from ashpath.emulator.soak.plan import (
     DESTINATIONS,
     SENDERS,
+    ClientFaultEvent,
     DrainEvent,
     OutageEvent,
     ProxyEvent,
@@ -112,6 +115,7 @@
         self.draining: set[str] = set()
         self.senders = []
         self.clients = []
+        self.client_paths = []
         for number in range(SENDERS):
             agents = [DiscoveryAgent(self.members(number), limits) for _ in range(AGENTS_PER_SENDER)]
             for agent in agents:
@@ -128,8 +132,10 @@
                 limits,
             )
             self.senders.append(sender)
+            path = ClientPath(number, sender.address, self.records)
+            self.client_paths.append(path)
             self.clients.append(
-                SoakClients(number, sender.address, plan.rate, DESTINATIONS, self.records, random, limits)
+                SoakClients(number, path.address, plan.rate, DESTINATIONS, self.records, random, limits)
             )
         self._greenlets: list[Greenlet[..., None]] = []
 
@@ -168,10 +174,11 @@
         self._greenlets = [gevent.spawn(clients.run) for clients in self.clients]
         self.clients[0].connect_idle(plan.idle_clients)
         events: list[tuple[float, Callable[[], None]]] = []
-        events += [(event.at, lambda event=event: self._restart(event)) for event in plan.restarts]  # type: ignore[misc]  # bound in the loop
-        events += [(event.at, lambda event=event: self._drain(event)) for event in plan.drains]  # type: ignore[misc]  # bound in the loop
-        events += [(event.at, lambda event=event: self._fail_connections(event)) for event in plan.proxies]  # type: ignore[misc]  # bound in the loop
-        events += [(event.at, lambda event=event: self._cause_outage(event)) for event in plan.outages]  # type: ignore[misc]  # bound in the loop
+        events += [(event.at, partial(self._restart, event)) for event in plan.restarts]
+        events += [(event.at, partial(self._drain, event)) for event in plan.drains]
+        events += [(event.at, partial(self._fail_connections, event)) for event in plan.proxies]
+        events += [(event.at, partial(self._cause_outage, event)) for event in plan.outages]
+        events += [(event.at, partial(self._fail_client_path, event)) for event in plan.client_faults]
         for at, action in events:
             self._greenlets.append(gevent.spawn_later(began + at - monotonic(), action))
 
@@ -217,6 +224,9 @@
         for endpoint in endpoints:
             endpoint.sends_retry_after = True
 
+    def _fail_client_path(self, event: ClientFaultEvent) -> None:
+        self.client_paths[event.sender].fail(event.mode, event.until - event.at)
+
     def _cause_outage(self, event: OutageEvent) -> None:
         endpoints = [endpoint for endpoint in self.endpoints if endpoint.destination == event.destination]
         began_at = monotonic()
@@ -250,5 +260,7 @@
             sender.kill()
             for agent in sender.agents:
                 agent.stop()
+        for path in self.client_paths:
+            path.stop()
         for endpoint in self.endpoints:
             endpoint.stop()
--- /dev/null
+++ b/ashpath/emulator/soak/paths.py
@@ -0,0 +1,48 @@
+"""Proxies on the network paths of one sender, and the record of each fault that a proxy injects there."""
+
+from __future__ import annotations
+
+from time import monotonic
+
+import gevent
+
+from ashpath.emulator.fault_injection.tcp_proxy import FaultProxy, ProxyMode
+from ashpath.emulator.soak.records import ClientFault, SoakRecords
+from ashpath.server.addresses import Address, parse_address
+
+LATE_S = 0.25  # below the response timeout of the clients
+# In these modes the proxy itself closes connections throughout a fault, in the others at its begin and end.
+CLOSING_MODES = frozenset({ProxyMode.RESET, ProxyMode.RESET_AFTER_BYTE})
+
+
+class ClientPath:
+    """The path from the clients of one sender to its listener at `target`."""
+
+    def __init__(self, sender: int, target: Address, records: SoakRecords) -> None:
+        self.sender = sender
+        self.proxy = FaultProxy(target, LATE_S)
+        self.address = parse_address(self.proxy.address)
+        self._records = records
+
+    def fail(self, mode: ProxyMode, duration_s: float) -> None:
+        """Lets connections fail for `duration_s`; those that are open at the begin and the end are reset."""
+        began_at = monotonic()
+        self._switch(mode)
+        if mode not in CLOSING_MODES:
+            self._record(began_at)
+        gevent.sleep(duration_s)
+        if mode not in CLOSING_MODES:
+            began_at = monotonic()
+        self._switch(ProxyMode.FORWARD)
+        self._record(began_at)
+
+    def _switch(self, mode: ProxyMode) -> None:
+        self.proxy.mode = mode
+        self.proxy.reset_connections()
+
+    def _record(self, began_at: float) -> None:
+        self._records.client_faults.append(ClientFault(self.sender, began_at, monotonic()))
+
+    def stop(self) -> None:
+        """Stops the proxy."""
+        self.proxy.stop()
--- a/ashpath/emulator/soak/plan.py
+++ b/ashpath/emulator/soak/plan.py
@@ -21,6 +21,13 @@
     AgentReply.CLOSE,
     AgentReply.UNREADABLE,
 )
+CLIENT_MODES = (
+    ProxyMode.LATE,
+    ProxyMode.RESET,
+    ProxyMode.RESET_AFTER_BYTE,
+    ProxyMode.HALF_RESPONSE,
+    ProxyMode.SILENT,
+)
 PROXY_MODES = (ProxyMode.LATE, ProxyMode.RESET, ProxyMode.RESET_AFTER_BYTE, ProxyMode.HALF_RESPONSE)
 
 
@@ -60,6 +67,15 @@
     mode: ProxyMode
 
 
+class ClientFaultEvent(Struct, frozen=True):
+    """Connections of the clients of one sender fail in one way for a limited time."""
+
+    at: float
+    until: float
+    sender: int
+    mode: ProxyMode
+
+
 class OutageEvent(Struct, frozen=True):
     """A destination is down, and resets every connection that sends a call."""
 
@@ -82,6 +98,7 @@
     outages: tuple[OutageEvent, ...]
     process_faults: tuple[ProcessFaults, ...]
     """By sender; each process of that sender has these faults."""
+    client_faults: tuple[ClientFaultEvent, ...]
 
 
 def draw_plan(seed: int, duration_s: float = 12.0) -> SoakPlan:
@@ -104,14 +121,31 @@
     if random.random() < 0.5:
         at = random.uniform(FIRST_FAULT_S, last / 2)
         outages = [OutageEvent(at, at + random.uniform(2.5, 4.0), 2)]
+    # Events are drawn in the order in which they were added to the plan, so that a seed keeps its events.
+    rate = random.uniform(8.0, 25.0)
+    idle_clients = random.choice((0, 0, 150))
+    process_faults = tuple(draw_faults(random, duration_s) for _ in range(SENDERS))
     return SoakPlan(
         seed=seed,
         duration_s=duration_s,
-        rate=random.uniform(8.0, 25.0),
-        idle_clients=random.choice((0, 0, 150)),
+        rate=rate,
+        idle_clients=idle_clients,
         restarts=tuple(sorted(restarts, key=lambda event: event.at)),
         drains=(drain,),
         proxies=tuple(proxies),
         outages=tuple(outages),
-        process_faults=tuple(draw_faults(random, duration_s) for _ in range(SENDERS)),
+        process_faults=process_faults,
+        client_faults=draw_client_faults(random, last),
     )
+
+
+def draw_client_faults(random: Random, last: float) -> tuple[ClientFaultEvent, ...]:
+    """Draws at most one fault of the clients' path of each sender, which begins at `last` at the latest."""
+    faults = []
+    for sender in range(SENDERS):
+        if random.random() < 0.5:
+            at = random.uniform(FIRST_FAULT_S, last)
+            faults.append(
+                ClientFaultEvent(at, at + random.uniform(0.3, 1.2), sender, random.choice(CLIENT_MODES))
+            )
+    return tuple(faults)
--- a/ashpath/emulator/soak/records.py
+++ b/ashpath/emulator/soak/records.py
@@ -93,6 +93,14 @@
     ended_at: float
 
 
+class ClientFault(Struct, frozen=True):
+    """A period in which a proxy closed connections of a sender's clients."""
+
+    sender: int
+    began_at: float
+    ended_at: float
+
+
 class Outage(Struct, frozen=True):
     """A period in which a destination was down; it recovers with a part of its capacity."""
 
@@ -112,5 +120,6 @@
     incarnations: list[Incarnation] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     network_faults: list[NetworkFault] = field(default_factory=list)
+    client_faults: list[ClientFault] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
     ended_at: float = 0.0
