--- a/ashpath/emulator/fault_injection/tcp_proxy.py
+++ b/ashpath/emulator/fault_injection/tcp_proxy.py
@@ -11,7 +11,8 @@
 
 A connection keeps the mode under which it was accepted. `reset_connections` ends the open connections: the
 caller's side is reset, and the target's side is closed. A reset by the target is passed on to the caller.
-`FullBacklog` is an address at which connection attempts neither succeed nor fail.
+With a `first_byte`, only connections fail whose caller sends that byte first; all others are forwarded, and
+not reset. `FullBacklog` is an address at which connection attempts neither succeed nor fail.
 """
 
 from __future__ import annotations
@@ -45,12 +46,14 @@
 class FaultProxy:
     """Listens from construction until `stop`."""
 
-    def __init__(self, target: tuple[str, int], late_s: float = 1.0) -> None:
+    def __init__(self, target: tuple[str, int], late_s: float = 1.0, first_byte: bytes = b"") -> None:
         self.target = target
         self.late_s = late_s
+        self.first_byte = first_byte
         self.mode = ProxyMode.FORWARD
         self.accepted: dict[ProxyMode, int] = dict.fromkeys(ProxyMode, 0)
         self._open: dict[socket.socket, socket.socket | None] = {}  # the target's socket by the caller's
+        self._spared: set[socket.socket] = set()  # callers whose first byte is another one
         self._server = StreamServer((LOOPBACK, 0), self._serve)
         self._server.start()
         self.address = f"{LOOPBACK}:{self._server.server_port}"
@@ -58,29 +61,40 @@
     def stop(self) -> None:
         """Closes the listening socket, and resets the open connections."""
         self._server.stop(timeout=0)
+        self._spared.clear()
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Resets all open connections."""
+        """Resets all open connections that may fail."""
         for caller, target in list(self._open.items()):
+            if caller in self._spared:
+                continue
+            del self._open[caller]
             with suppress(OSError):  # the socket may have just been closed
                 reset_connection(caller)
             if target is not None:
                 target.close()
-        self._open.clear()
 
     def _serve(self, caller: socket.socket, _: object) -> None:
-        mode = self.mode
-        self.accepted[mode] += 1
         self._open[caller] = None
         try:
+            mode = self._select_mode(caller)
+            self.accepted[mode] += 1
             self._handle(caller, mode)
         except OSError:
             pass
         finally:
             self._open.pop(caller, None)
+            self._spared.discard(caller)
             caller.close()
 
+    def _select_mode(self, caller: socket.socket) -> ProxyMode:
+        mode = self.mode
+        if self.first_byte and caller.recv(1, socket.MSG_PEEK) != self.first_byte:
+            self._spared.add(caller)
+            return ProxyMode.FORWARD
+        return mode
+
     def _handle(self, caller: socket.socket, mode: ProxyMode) -> None:
         if mode is ProxyMode.RESET:
             reset_connection(caller)
--- a/ashpath/emulator/soak/day.py
+++ b/ashpath/emulator/soak/day.py
@@ -18,12 +18,13 @@
 from ashpath.emulator.soak.clients import SoakClients
 from ashpath.emulator.soak.endpoints import SoakEndpoint
 from ashpath.emulator.soak.judge import RuleCheckerSettings
-from ashpath.emulator.soak.paths import ClientPath
+from ashpath.emulator.soak.paths import ClientPath, NoticePath
 from ashpath.emulator.soak.plan import (
     DESTINATIONS,
     SENDERS,
     ClientFaultEvent,
     DrainEvent,
+    NoticeFaultEvent,
     OutageEvent,
     ProxyEvent,
     RestartEvent,
@@ -116,10 +117,13 @@
         self.senders = []
         self.clients = []
         self.client_paths = []
+        self.notice_paths = []
         for number in range(SENDERS):
             agents = [DiscoveryAgent(self.members(number), limits) for _ in range(AGENTS_PER_SENDER)]
             for agent in agents:
                 agent.retry_after_s = 2.0
+            notice_path = NoticePath(number, [agent.address for agent in agents], self.records)
+            self.notice_paths.append(notice_path)
             faults = plan.process_faults[number]
             sender = SoakSender(
                 number,
@@ -127,6 +131,7 @@
                 folder / f"n{number}",
                 soak_settings(),
                 agents,
+                notice_path.addresses,
                 faults,
                 self.records,
                 limits,
@@ -179,6 +184,7 @@
         events += [(event.at, partial(self._fail_connections, event)) for event in plan.proxies]
         events += [(event.at, partial(self._cause_outage, event)) for event in plan.outages]
         events += [(event.at, partial(self._fail_client_path, event)) for event in plan.client_faults]
+        events += [(event.at, partial(self._fail_notices, event)) for event in plan.notice_faults]
         for at, action in events:
             self._greenlets.append(gevent.spawn_later(began + at - monotonic(), action))
 
@@ -203,7 +209,7 @@
         for move in range(event.moves):
             gevent.sleep(RELOAD_INTERVAL_S)
             for sender in self.senders:
-                sender.reload(sender.agents[(move + 1) % AGENTS_PER_SENDER])
+                sender.reload((move + 1) % AGENTS_PER_SENDER)
         if event.moves:
             received_by = max(received_by, monotonic() + RELOAD_TIMEOUT_S)
         for sender in self.senders:
@@ -227,6 +233,9 @@
     def _fail_client_path(self, event: ClientFaultEvent) -> None:
         self.client_paths[event.sender].fail(event.mode, event.until - event.at)
 
+    def _fail_notices(self, event: NoticeFaultEvent) -> None:
+        self.notice_paths[event.sender].fail(event.mode, event.until - event.at)
+
     def _cause_outage(self, event: OutageEvent) -> None:
         endpoints = [endpoint for endpoint in self.endpoints if endpoint.destination == event.destination]
         began_at = monotonic()
@@ -249,7 +258,7 @@
         for sender in self.senders:
             for agent in sender.agents:
                 for notice, at in agent.notices:
-                    records.notices.setdefault(str(notice["id"]), at)
+                    records.record_notice(sender.number, str(notice["id"]), at)
         return records
 
     def stop(self) -> None:
@@ -260,7 +269,8 @@
             sender.kill()
             for agent in sender.agents:
                 agent.stop()
-        for path in self.client_paths:
-            path.stop()
+        for client_path, notice_path in zip(self.client_paths, self.notice_paths, strict=True):
+            client_path.stop()
+            notice_path.stop()
         for endpoint in self.endpoints:
             endpoint.stop()
--- a/ashpath/emulator/soak/paths.py
+++ b/ashpath/emulator/soak/paths.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from time import monotonic
 
 import gevent
 
 from ashpath.emulator.fault_injection.tcp_proxy import FaultProxy, ProxyMode
-from ashpath.emulator.soak.records import ClientFault, SoakRecords
+from ashpath.emulator.soak.records import ClientFault, NoticeFault, SoakRecords
 from ashpath.server.addresses import Address, parse_address
 
-LATE_S = 0.25  # below the response timeout of the clients
+LATE_S = 0.25  # below the response timeouts of the clients and of a notification
+FIRST_BYTE_OF_NOTICES = b"P"  # of POST; polls of the same agent begin with GET
 # In these modes the proxy itself closes connections throughout a fault, in the others at its begin and end.
 CLOSING_MODES = frozenset({ProxyMode.RESET, ProxyMode.RESET_AFTER_BYTE})
 
@@ -46,3 +48,36 @@
     def stop(self) -> None:
         """Stops the proxy."""
         self.proxy.stop()
+
+
+class NoticePath:
+    """The paths from one sender to its agents at `agent_addresses`. Only connections with notices fail."""
+
+    def __init__(self, sender: int, agent_addresses: Sequence[str], records: SoakRecords) -> None:
+        self.sender = sender
+        self.proxies = [
+            FaultProxy(parse_address(address), LATE_S, FIRST_BYTE_OF_NOTICES) for address in agent_addresses
+        ]
+        self.addresses = [proxy.address for proxy in self.proxies]
+        self._records = records
+
+    def fail(self, mode: ProxyMode, duration_s: float) -> None:
+        """Lets notices fail for `duration_s`; connections open at the begin and the end are reset."""
+        began_at = monotonic()
+        self._switch(mode)
+        gevent.sleep(duration_s)
+        self._switch(ProxyMode.FORWARD)
+        cuts_acknowledgements = mode is ProxyMode.HALF_RESPONSE
+        self._records.notice_faults.append(
+            NoticeFault(self.sender, began_at, monotonic(), cuts_acknowledgements)
+        )
+
+    def _switch(self, mode: ProxyMode) -> None:
+        for proxy in self.proxies:
+            proxy.mode = mode
+            proxy.reset_connections()
+
+    def stop(self) -> None:
+        """Stops the proxies."""
+        for proxy in self.proxies:
+            proxy.stop()
--- a/ashpath/emulator/soak/plan.py
+++ b/ashpath/emulator/soak/plan.py
@@ -28,6 +28,12 @@
     ProxyMode.HALF_RESPONSE,
     ProxyMode.SILENT,
 )
+NOTICE_MODES = (
+    ProxyMode.LATE,
+    ProxyMode.RESET_AFTER_BYTE,
+    ProxyMode.HALF_RESPONSE,
+    ProxyMode.SILENT,
+)
 PROXY_MODES = (ProxyMode.LATE, ProxyMode.RESET, ProxyMode.RESET_AFTER_BYTE, ProxyMode.HALF_RESPONSE)
 
 
@@ -76,6 +82,15 @@
     mode: ProxyMode
 
 
+class NoticeFaultEvent(Struct, frozen=True):
+    """Connections that carry the notices of one sender fail in one way for a limited time."""
+
+    at: float
+    until: float
+    sender: int
+    mode: ProxyMode
+
+
 class OutageEvent(Struct, frozen=True):
     """A destination is down, and resets every connection that sends a call."""
 
@@ -99,6 +114,7 @@
     process_faults: tuple[ProcessFaults, ...]
     """By sender; each process of that sender has these faults."""
     client_faults: tuple[ClientFaultEvent, ...]
+    notice_faults: tuple[NoticeFaultEvent, ...]
 
 
 def draw_plan(seed: int, duration_s: float = 12.0) -> SoakPlan:
@@ -136,6 +152,7 @@
         outages=tuple(outages),
         process_faults=process_faults,
         client_faults=draw_client_faults(random, last),
+        notice_faults=draw_notice_faults(random, duration_s),
     )
 
 
@@ -149,3 +166,15 @@
                 ClientFaultEvent(at, at + random.uniform(0.3, 1.2), sender, random.choice(CLIENT_MODES))
             )
     return tuple(faults)
+
+
+def draw_notice_faults(random: Random, duration_s: float) -> tuple[NoticeFaultEvent, ...]:
+    """Draws at most one fault of the notices of each sender. Most notices follow the first deadlines."""
+    faults = []
+    for sender in range(SENDERS):
+        if random.random() < 0.5:
+            at = random.uniform(FIRST_FAULT_S, duration_s)
+            faults.append(
+                NoticeFaultEvent(at, at + random.uniform(0.5, 2.0), sender, random.choice(NOTICE_MODES))
+            )
+    return tuple(faults)
--- a/ashpath/emulator/soak/records.py
+++ b/ashpath/emulator/soak/records.py
@@ -101,6 +101,16 @@
     ended_at: float
 
 
+class NoticeFault(Struct, frozen=True):
+    """A period in which a proxy failed the connections that carry a sender's notices."""
+
+    sender: int
+    began_at: float
+    ended_at: float
+    cuts_acknowledgements: bool
+    """Whether notices reached their receiver in this period, and only their acknowledgements were lost."""
+
+
 class Outage(Struct, frozen=True):
     """A period in which a destination was down; it recovers with a part of its capacity."""
 
@@ -115,11 +125,20 @@
     submissions: dict[str, Submission] = field(default_factory=dict)
     calls: list[Call] = field(default_factory=list)
     notices: dict[str, float] = field(default_factory=dict)
-    """Time of the first notification of each message's final outcome, by message id."""
+    """Time of the first acknowledged notification of each message's final outcome, by message id."""
     departures: list[Departure] = field(default_factory=list)
     incarnations: list[Incarnation] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     network_faults: list[NetworkFault] = field(default_factory=list)
     client_faults: list[ClientFault] = field(default_factory=list)
+    notice_faults: list[NoticeFault] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
     ended_at: float = 0.0
+
+    def record_notice(self, sender: int, message_id: str, at: float) -> None:
+        """Records a notification, after all faults: one whose acknowledgement was cut is to be sent again."""
+        for fault in self.notice_faults:
+            is_affected = fault.sender == sender and fault.began_at <= at <= fault.ended_at
+            if is_affected and fault.cuts_acknowledgements:
+                return
+        self.notices[message_id] = min(at, self.notices.get(message_id, at))
--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -31,7 +31,7 @@
 
 
 class SoakSender:
-    """`agents` serve the sender's service discovery; the sender starts with the first agent."""
+    """`agents` serve its service discovery at `agent_addresses`; the sender starts with the first one."""
 
     def __init__(
         self,
@@ -40,6 +40,7 @@
         folder: Path,
         settings: JsonObject,
         agents: list[DiscoveryAgent],
+        agent_addresses: list[str],
         faults: ProcessFaults,
         records: SoakRecords,
         limits: ServerLimits,
@@ -47,6 +48,7 @@
         self.number = number
         self.address = (LOOPBACK, port)
         self.agents = agents
+        self._agent_addresses = agent_addresses
         self._folder = folder
         self._settings = settings
         self._records = records
@@ -55,16 +57,17 @@
         folder.mkdir(parents=True)
         (folder / "state").mkdir()
         (folder / "faults").write_bytes(faults.encode())
-        self.configure(agents[0])
+        self.configure(0)
 
-    def configure(self, agent: DiscoveryAgent) -> None:
-        """Writes the configuration file, with the address and the endpoint list of `agent`."""
+    def configure(self, agent_number: int) -> None:
+        """Writes the configuration file, with the address and the endpoint list of one agent."""
+        agent = self.agents[agent_number]
         document = {
             "seed": f"{self.number + 1:x}",
             "settings": self._settings | {"rank": self.number},
             "limits": {"sockets": 256, "disk_mb": 1},
             "known": {"revision": agent.revision, "complete": True, "members": agent.members},
-            "discovery": agent.address,
+            "discovery": self._agent_addresses[agent_number],
         }
         temporary = self._folder / "config.json.new"
         temporary.write_bytes(orjson.dumps(document))
@@ -75,7 +78,7 @@
         environment = os.environ | {
             "RELAY_NAME": f"n{self.number}",
             "RELAY_LISTEN": f"{LOOPBACK}:{self.address[1]}",
-            "RELAY_DISCOVERY": self.agents[0].address,
+            "RELAY_DISCOVERY": self._agent_addresses[0],
             "RELAY_STATE": str(self._folder / "state"),
             "RELAY_CONFIG": str(self._folder / "config.json"),
             SCHEDULE_VARIABLE: str(self._folder / "faults"),
@@ -104,9 +107,9 @@
         except RequestError:
             return False
 
-    def reload(self, agent: DiscoveryAgent) -> None:
+    def reload(self, agent_number: int) -> None:
         """Configures another agent, and sends SIGHUP if the process is ready."""
-        self.configure(agent)
+        self.configure(agent_number)
         process = self._process
         # Before readiness the interpreter may still be starting, with no SIGHUP handler installed.
         is_ready = self._records.incarnations[self._incarnation_index()].ready_at > 0
--- a/tests/emulator/fault_injection/test_path_faults.py
+++ b/tests/emulator/fault_injection/test_path_faults.py
@@ -7,12 +7,14 @@
 
 import gevent
 import pytest
-from support.world import World, request, wait_until
+from support.server import READINESS_REQUEST
+from support.world import PLATFORM, World, request, wait_until
 
-from ashpath.emulator.fault_injection.tcp_proxy import ProxyMode
-from ashpath.emulator.soak.paths import LATE_S, ClientPath
+from ashpath.emulator.fault_injection.tcp_proxy import FaultProxy, ProxyMode
+from ashpath.emulator.soak.paths import LATE_S, ClientPath, NoticePath
 from ashpath.emulator.soak.records import SoakRecords
 from ashpath.emulator.stand_ins import stand_in_limits
+from ashpath.server.addresses import parse_address
 from ashpath.server.http.connection import open_connection
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 
@@ -98,3 +100,56 @@
     world.kill()
     with pytest.raises(ConnectionResetError):
         connection.receive()
+
+
+@pytest.fixture
+def notice_path(world: World, records: SoakRecords) -> Iterator[NoticePath]:
+    path = NoticePath(0, [f"127.0.0.1:{world.servers[PLATFORM].server_port}"], records)
+    world.config["discovery"] = path.addresses[0]
+    world.configure()
+    world.start()
+    yield path
+    path.stop()
+
+
+@pytest.mark.parametrize(
+    ("mode", "is_received"),
+    [
+        (ProxyMode.LATE, True),
+        (ProxyMode.RESET_AFTER_BYTE, False),
+        (ProxyMode.HALF_RESPONSE, True),
+        (ProxyMode.SILENT, False),
+    ],
+)
+def test_notice_that_proxy_cuts_is_sent_again(
+    world: World, records: SoakRecords, notice_path: NoticePath, mode: ProxyMode, is_received: bool
+) -> None:
+    """`is_received`: whether the notice reaches the agent during the fault. Polls pass meanwhile."""
+    fault = gevent.spawn(notice_path.fail, mode, 2.0)
+    gevent.sleep(0)
+    polls_before = sum(world.poll_counts.values())
+    assert world.submit("cut", "free", "hang", 1, time_left_ms=300) == 202
+    wait_until(lambda: notice_path.proxies[0].accepted[mode])
+    fault.get()
+    received_during = len(world.notified("cut"))
+    assert bool(received_during) is is_received
+    assert sum(world.poll_counts.values()) > polls_before
+    is_acknowledged = mode is ProxyMode.LATE
+    wait_until(lambda: is_acknowledged or len(world.notified("cut")) > received_during)
+    assert records.notice_faults[0].cuts_acknowledgements is (mode is ProxyMode.HALF_RESPONSE)
+
+
+def test_proxy_with_first_byte_forwards_and_keeps_other_connections(world: World) -> None:
+    world.start()
+    proxy = FaultProxy(world.address, first_byte=b"P")
+    spared, failing = (open_connection(parse_address(proxy.address), LIMITS) for _ in range(2))
+    for connection in (spared, failing):
+        connection.write(READINESS_REQUEST if connection is spared else request("m", "free", "200", 1))
+        assert connection.read_response().status in {200, 202}
+    proxy.reset_connections()
+    with pytest.raises(ConnectionResetError):
+        failing.receive()
+    spared.finish_response()
+    spared.write(READINESS_REQUEST)
+    assert spared.read_response().status == 200
+    proxy.stop()
--- a/tests/emulator/soak/test_judge.py
+++ b/tests/emulator/soak/test_judge.py
@@ -14,6 +14,7 @@
     Effect,
     Incarnation,
     NetworkFault,
+    NoticeFault,
     Outage,
     Reply,
     SoakRecords,
@@ -87,6 +88,46 @@
     records.client_faults[:] = [ClientFault(1, 2.0, 2.5)]
 
 
+def notified_at(records: SoakRecords, at: float, sender: int = 0) -> None:
+    """A message due at 3.3 is notified at `at`; its sender's notices fail from 2.8 to 3.3."""
+    del records.notices["given up"]
+    records.notice_faults.append(NoticeFault(sender, 2.8, 3.3, False))
+    records.record_notice(0, "given up", at)
+
+
+def notified_too_late_after_notice_fault(records: SoakRecords) -> None:
+    notified_at(records, 3.71)
+
+
+def notified_late_during_notice_fault_of_other_sender(records: SoakRecords) -> None:
+    notified_at(records, 3.31, sender=1)
+
+
+def notified_late_after_ended_notice_fault(records: SoakRecords) -> None:
+    ended_late(records)
+    records.notice_faults.append(NoticeFault(0, 2.0, 2.89, False))
+
+
+def notified_late_before_notice_fault(records: SoakRecords) -> None:
+    ended_late(records)
+    records.notice_faults.append(NoticeFault(0, 3.31, 4.0, False))
+
+
+def never_acknowledged(records: SoakRecords) -> None:
+    del records.notices["given up"]
+    records.notice_faults.append(NoticeFault(0, 2.8, 3.3, True))
+    records.record_notice(0, "given up", 2.9)
+
+
+def notified_at_with_restart_after_notice_fault(records: SoakRecords, at: float) -> None:
+    notified_at(records, at)
+    records.incarnations = [Incarnation(0, 0.0, 0.3, 3.6, 3.6), Incarnation(0, 4.0, 4.5)]
+
+
+def notified_too_late_after_notice_fault_and_restart(records: SoakRecords) -> None:
+    notified_at_with_restart_after_notice_fault(records, 6.31)
+
+
 def run_twice(records: SoakRecords) -> None:
     add(records, call("x", 4.0, Reply.RESET), call("x", 5.0), effect=Effect.AT_MOST_ONCE)
 
@@ -139,6 +180,12 @@
         closed_unanswered_before_client_fault,
         closed_unanswered_after_client_fault,
         closed_unanswered_at_other_sender,
+        notified_too_late_after_notice_fault,
+        notified_late_during_notice_fault_of_other_sender,
+        notified_late_after_ended_notice_fault,
+        notified_late_before_notice_fault,
+        never_acknowledged,
+        notified_too_late_after_notice_fault_and_restart,
     ),
     "doubled": (
         run_twice,
@@ -207,6 +254,19 @@
     closed_unanswered_at(records, 2.59)
 
 
+def notified_soon_after_notice_fault(records: SoakRecords) -> None:
+    notified_at(records, 3.69)
+
+
+def notified_again_after_cut_acknowledgement(records: SoakRecords) -> None:
+    never_acknowledged(records)
+    records.record_notice(0, "given up", 3.6)
+
+
+def notified_after_notice_fault_and_restart(records: SoakRecords) -> None:
+    notified_at_with_restart_after_notice_fault(records, 6.2)
+
+
 @pytest.mark.parametrize(
     "allowed",
     [
@@ -218,6 +278,9 @@
         request_unanswered_during_shutdown,
         request_closed_by_proxy,
         request_observed_closed_soon_after_proxy_fault,
+        notified_soon_after_notice_fault,
+        notified_again_after_cut_acknowledgement,
+        notified_after_notice_fault_and_restart,
     ],
 )
 def test_permitted_behaviour_is_not_reported(allowed: Callable[[SoakRecords], None]) -> None:
