--- a/ashpath/emulator/fault_injection/launcher.py
+++ b/ashpath/emulator/fault_injection/launcher.py
@@ -3,12 +3,14 @@
     python -m ashpath.emulator.fault_injection.launcher
 
 `ASHPATH_FAULTS` names the file of the schedule (`call_faults.ProcessFaults`). The counts of injected faults
-are written to a file beside it with the suffix `.injected`. All other environment variables are the sender's.
+are written to a file beside it with the suffix `.injected`. `ASHPATH_DESCRIPTORS`, if it is set, is the soft
+limit of the process's descriptors. All other environment variables are the sender's.
 """
 
 from __future__ import annotations
 
 import os
+import resource
 import runpy
 import sys
 from pathlib import Path
@@ -17,6 +19,7 @@
 from ashpath.emulator.fault_injection.process_faults import ProcessFaultInjector
 
 SCHEDULE_VARIABLE = "ASHPATH_FAULTS"
+DESCRIPTORS_VARIABLE = "ASHPATH_DESCRIPTORS"
 
 
 def report_path(schedule: Path) -> Path:
@@ -26,6 +29,9 @@
 
 def main() -> None:
     """Installs the faults, and runs the sender in this process."""
+    if descriptors := os.environ.get(DESCRIPTORS_VARIABLE):
+        _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (int(descriptors), hard_limit))
     schedule = Path(os.environ[SCHEDULE_VARIABLE])
     faults = ProcessFaults.decode(schedule.read_bytes())
     ProcessFaultInjector(faults, report_path(schedule)).install()
--- a/ashpath/emulator/soak/clients.py
+++ b/ashpath/emulator/soak/clients.py
@@ -17,6 +17,7 @@
 RESPONSE_TIMEOUT_S = 0.4
 MAX_IDLE_CONNECTIONS = 6
 DEADLINES_S = (1.0, 2.5, 6.0)
+CROWD_INTERVAL_S = 1.0  # between two replacements of idle connections that the sender closed
 ORDERING_KEYS = ("", "", "a", "b")
 
 
@@ -61,6 +62,16 @@
             except OSError:
                 return
 
+    def crowd(self, count: int) -> None:
+        """Keeps `count` connections open that send no request, and replaces closed ones. Never returns."""
+        while True:
+            for connection in self._silent_connections:
+                if not connection.is_idle():
+                    connection.close()
+            self._silent_connections = [one for one in self._silent_connections if not one.unusable]
+            self.connect_idle(count - len(self._silent_connections))
+            gevent.sleep(CROWD_INTERVAL_S)
+
     def _draw_submission(self) -> Submission:
         self._number += 1
         effect = self._random.choice(tuple(Effect))
--- a/ashpath/emulator/soak/day.py
+++ b/ashpath/emulator/soak/day.py
@@ -17,7 +17,6 @@
 from ashpath.emulator.fault_injection.tcp_proxy import ProxyMode
 from ashpath.emulator.soak.clients import SoakClients
 from ashpath.emulator.soak.endpoints import SoakEndpoint
-from ashpath.emulator.soak.judge import RuleCheckerSettings
 from ashpath.emulator.soak.paths import ClientPath, NoticePath
 from ashpath.emulator.soak.plan import (
     DESTINATIONS,
@@ -31,8 +30,9 @@
     SoakPlan,
     StopMethod,
 )
-from ashpath.emulator.soak.records import Departure, Effect, NetworkFault, Outage, SoakRecords
-from ashpath.emulator.soak.sender import SoakSender
+from ashpath.emulator.soak.records import Departure, NetworkFault, Outage, SoakRecords
+from ashpath.emulator.soak.sender import SenderOptions, SoakSender
+from ashpath.emulator.soak.settings import soak_settings
 from ashpath.emulator.stand_ins import free_port, stand_in_limits
 
 NETWORK_CALLS = (FaultyCall.SOCKET, FaultyCall.CONNECT, FaultyCall.RECEIVE)
@@ -40,67 +40,10 @@
 RELOAD_INTERVAL_S = 0.3
 SILENT_WATCH_TIMEOUT_S = 6.0  # by then a sender has an endpoint list that its open watch did not deliver
 RELOAD_TIMEOUT_S = 4.0  # by then a sender has the list of the agent that SIGHUP switched it to
-DEDUPLICATION_WINDOW_MS = 5000.0
-DRAIN_GRACE_MS = 250.0
-COLD_SHARE = 0.3
-OVERLOAD_MULTIPLE = 3.0
-OVERLOAD_MS = 1000.0
 FINAL_WAIT_S = 9.0  # after the last request: covers the longest deadline and a restart
 START_TIMEOUT_S = 15.0  # until all senders are ready
 
 
-def soak_settings() -> JsonObject:
-    """Returns the settings of the run in the form that the platform writes."""
-    classes = [
-        {
-            "name": effect.value,
-            "deadline": 8000.0,
-            "slo": 1000.0,
-            "repeat": repeat,
-            "window": DEDUPLICATION_WINDOW_MS,
-            "importance": 1.0,
-            "one-at-a-time": effect is Effect.DEDUPLICATED,
-        }
-        for effect, repeat in zip(Effect, ("retryable", "dedup", "fragile"), strict=True)
-    ]
-    return {
-        "classes": classes,
-        "kinds": ["plain"],
-        "zones": ["here"],
-        "group-size": SENDERS,
-        "limits": {
-            "max-open": 200,
-            "max-attempts": 6,
-            "retry-after": True,
-            "max-retry-after": 3000.0,
-            "conn-idle": 2000.0,
-            "connect-timeout": 500.0,
-            "cancelling": True,
-        },
-        "specifics": {"slots": 48},
-        "contract": {
-            "drain-grace": DRAIN_GRACE_MS,
-            "order-settle": 200.0,
-            "cold-from": COLD_SHARE,
-            "fall": OVERLOAD_MS,
-            "fall-multiple": OVERLOAD_MULTIPLE,
-            "ramp-time": 3000.0,
-        },
-    }
-
-
-def rule_checker_settings(plan: SoakPlan) -> RuleCheckerSettings:
-    """Returns the rule checker's settings, which follow from the settings of the run."""
-    capacity = plan.rate * SENDERS / DESTINATIONS
-    return RuleCheckerSettings(
-        grace_s=DRAIN_GRACE_MS / 1000,
-        window_s=DEDUPLICATION_WINDOW_MS / 1000,
-        overload_s=OVERLOAD_MS / 1000,
-        cold_rate=COLD_SHARE * capacity,
-        overload_multiple=OVERLOAD_MULTIPLE,
-    )
-
-
 class SoakRun:
     """One run. `folder` receives the logs and the state directories of the senders."""
 
@@ -124,7 +67,6 @@
                 agent.retry_after_s = 2.0
             notice_path = NoticePath(number, [agent.address for agent in agents], self.records)
             self.notice_paths.append(notice_path)
-            faults = plan.process_faults[number]
             sender = SoakSender(
                 number,
                 free_port(),
@@ -132,7 +74,7 @@
                 soak_settings(),
                 agents,
                 notice_path.addresses,
-                faults,
+                self._sender_options(number),
                 self.records,
                 limits,
             )
@@ -144,6 +86,10 @@
             )
         self._greenlets: list[Greenlet[..., None]] = []
 
+    def _sender_options(self, sender: int) -> SenderOptions:
+        limits = {limit.sender: limit.descriptors for limit in self.plan.descriptor_limits}
+        return SenderOptions(self.plan.process_faults[sender], limits.get(sender))
+
     def members(self, sender: int) -> list[JsonObject]:
         """Returns the current endpoint list, with the addresses that the sender uses."""
         return [
@@ -178,6 +124,8 @@
         plan = self.plan
         self._greenlets = [gevent.spawn(clients.run) for clients in self.clients]
         self.clients[0].connect_idle(plan.idle_clients)
+        for limit in plan.descriptor_limits:
+            self._greenlets.append(gevent.spawn(self.clients[limit.sender].crowd, limit.idle_clients))
         events: list[tuple[float, Callable[[], None]]] = []
         events += [(event.at, partial(self._restart, event)) for event in plan.restarts]
         events += [(event.at, partial(self._drain, event)) for event in plan.drains]
--- a/ashpath/emulator/soak/plan.py
+++ b/ashpath/emulator/soak/plan.py
@@ -13,6 +13,8 @@
 
 SENDERS = 3
 DESTINATIONS = 3
+FEW_DESCRIPTORS = 150
+CROWDING_CLIENTS = 40  # more than the client connections of a sender with few descriptors
 FIRST_FAULT_S = 1.5  # earliest time of a fault after the start of the run
 FAILING_REPLIES = (
     AgentReply.SILENT,
@@ -91,6 +93,14 @@
     mode: ProxyMode
 
 
+class DescriptorLimit(Struct, frozen=True):
+    """Each process of one sender has few descriptors, while idle clients crowd it."""
+
+    sender: int
+    descriptors: int
+    idle_clients: int
+
+
 class OutageEvent(Struct, frozen=True):
     """A destination is down, and resets every connection that sends a call."""
 
@@ -115,6 +125,7 @@
     """By sender; each process of that sender has these faults."""
     client_faults: tuple[ClientFaultEvent, ...]
     notice_faults: tuple[NoticeFaultEvent, ...]
+    descriptor_limits: tuple[DescriptorLimit, ...]
 
 
 def draw_plan(seed: int, duration_s: float = 12.0) -> SoakPlan:
@@ -153,6 +164,7 @@
         process_faults=process_faults,
         client_faults=draw_client_faults(random, last),
         notice_faults=draw_notice_faults(random, duration_s),
+        descriptor_limits=draw_descriptor_limits(random),
     )
 
 
@@ -178,3 +190,10 @@
                 NoticeFaultEvent(at, at + random.uniform(0.5, 2.0), sender, random.choice(NOTICE_MODES))
             )
     return tuple(faults)
+
+
+def draw_descriptor_limits(random: Random) -> tuple[DescriptorLimit, ...]:
+    """Draws at most one sender with few descriptors."""
+    if random.random() >= 0.4:
+        return ()
+    return (DescriptorLimit(random.randrange(SENDERS), FEW_DESCRIPTORS, CROWDING_CLIENTS),)
--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -11,12 +11,13 @@
 import gevent
 import orjson
 from gevent import subprocess
+from msgspec import Struct
 
 from ashpath.core.json_types import JsonObject
 from ashpath.emulator.errors import RequestError
 from ashpath.emulator.fault_injection.call_faults import ProcessFaults
 from ashpath.emulator.fault_injection.discovery_agent import DiscoveryAgent
-from ashpath.emulator.fault_injection.launcher import SCHEDULE_VARIABLE
+from ashpath.emulator.fault_injection.launcher import DESCRIPTORS_VARIABLE, SCHEDULE_VARIABLE
 from ashpath.emulator.http_client import HttpClient
 from ashpath.emulator.soak.records import Incarnation, SoakRecords
 from ashpath.emulator.stand_ins import LOOPBACK
@@ -28,6 +29,15 @@
 READY_TIMEOUT_S = 0.5
 KILL_AFTER_TERM_S = 3.7  # the earliest SIGKILL after SIGTERM
 DOWNTIME_S = 0.6  # between the end of a process and the next start
+DESCRIPTORS = 256  # in the configuration of a sender without a descriptor limit
+
+
+class SenderOptions(Struct, frozen=True):
+    """The faults of a sender's processes, and their limits."""
+
+    faults: ProcessFaults
+    descriptor_limit: int | None = None
+    """The soft limit of each process, and the descriptors in its configuration."""
 
 
 class SoakSender:
@@ -41,7 +51,7 @@
         settings: JsonObject,
         agents: list[DiscoveryAgent],
         agent_addresses: list[str],
-        faults: ProcessFaults,
+        options: SenderOptions,
         records: SoakRecords,
         limits: ServerLimits,
     ) -> None:
@@ -49,6 +59,7 @@
         self.address = (LOOPBACK, port)
         self.agents = agents
         self._agent_addresses = agent_addresses
+        self._options = options
         self._folder = folder
         self._settings = settings
         self._records = records
@@ -56,7 +67,7 @@
         self._ready_client = HttpClient(self.address, limits, READY_TIMEOUT_S, max_idle=0)
         folder.mkdir(parents=True)
         (folder / "state").mkdir()
-        (folder / "faults").write_bytes(faults.encode())
+        (folder / "faults").write_bytes(options.faults.encode())
         self.configure(0)
 
     def configure(self, agent_number: int) -> None:
@@ -65,7 +76,7 @@
         document = {
             "seed": f"{self.number + 1:x}",
             "settings": self._settings | {"rank": self.number},
-            "limits": {"sockets": 256, "disk_mb": 1},
+            "limits": {"sockets": self._options.descriptor_limit or DESCRIPTORS, "disk_mb": 1},
             "known": {"revision": agent.revision, "complete": True, "members": agent.members},
             "discovery": self._agent_addresses[agent_number],
         }
@@ -83,6 +94,8 @@
             "RELAY_CONFIG": str(self._folder / "config.json"),
             SCHEDULE_VARIABLE: str(self._folder / "faults"),
         }
+        if self._options.descriptor_limit:
+            environment[DESCRIPTORS_VARIABLE] = str(self._options.descriptor_limit)
         with (self._folder / "log").open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", LAUNCHER], env=environment, stdout=log, stderr=log
@@ -144,6 +157,11 @@
         ]
         return numbers[-1]
 
+    @property
+    def process_id(self) -> int:
+        """The id of the current process; 0 before the first start."""
+        return self._process.pid if self._process is not None else 0
+
     def is_running(self) -> bool:
         """Whether the sender has a running process."""
         return self._process is not None and self._process.poll() is None
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -19,9 +19,10 @@
 from gevent.pool import Pool
 from rich.progress import Progress
 
-from ashpath.emulator.soak.day import SoakRun, rule_checker_settings
+from ashpath.emulator.soak.day import SoakRun
 from ashpath.emulator.soak.judge import BrokenRule, RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
+from ashpath.emulator.soak.settings import rule_checker_settings
 
 MAX_FINDINGS_SHOWN = 4  # findings printed for one seed
 
--- a/tests/emulator/soak/test_day.py
+++ b/tests/emulator/soak/test_day.py
@@ -6,9 +6,10 @@
 
 import gevent
 
-from ashpath.emulator.soak.day import SoakRun, rule_checker_settings
+from ashpath.emulator.soak.day import SoakRun
 from ashpath.emulator.soak.judge import RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
+from ashpath.emulator.soak.settings import rule_checker_settings
 
 SEEDS = (1, 2, 15, 23)
 
