--- a/ashpath/emulator/soak/day.py
+++ b/ashpath/emulator/soak/day.py
@@ -29,13 +29,15 @@
     RestartEvent,
     SoakPlan,
     StopMethod,
+    UpgradeEvent,
 )
-from ashpath.emulator.soak.records import Departure, NetworkFault, Outage, SoakRecords
+from ashpath.emulator.soak.records import Departure, DiskFault, Incarnation, NetworkFault, Outage, SoakRecords
 from ashpath.emulator.soak.sender import SenderOptions, SoakSender
 from ashpath.emulator.soak.settings import soak_settings
 from ashpath.emulator.stand_ins import free_port, stand_in_limits
 
 NETWORK_CALLS = (FaultyCall.SOCKET, FaultyCall.CONNECT, FaultyCall.RECEIVE)
+DISK_CALLS = (FaultyCall.WRITE, FaultyCall.TRUNCATE, FaultyCall.RENAME, FaultyCall.OPEN)
 AGENTS_PER_SENDER = 2  # SIGHUP switches the sender between its agents
 RELOAD_INTERVAL_S = 0.3
 SILENT_WATCH_TIMEOUT_S = 6.0  # by then a sender has an endpoint list that its open watch did not deliver
@@ -88,7 +90,8 @@
 
     def _sender_options(self, sender: int) -> SenderOptions:
         limits = {limit.sender: limit.descriptors for limit in self.plan.descriptor_limits}
-        return SenderOptions(self.plan.process_faults[sender], limits.get(sender))
+        upgraded = {event.sender for event in self.plan.upgrades}
+        return SenderOptions(self.plan.process_faults[sender], limits.get(sender), sender in upgraded)
 
     def members(self, sender: int) -> list[JsonObject]:
         """Returns the current endpoint list, with the addresses that the sender uses."""
@@ -133,6 +136,7 @@
         events += [(event.at, partial(self._cause_outage, event)) for event in plan.outages]
         events += [(event.at, partial(self._fail_client_path, event)) for event in plan.client_faults]
         events += [(event.at, partial(self._fail_notices, event)) for event in plan.notice_faults]
+        events += [(event.at, partial(self._upgrade, event)) for event in plan.upgrades]
         for at, action in events:
             self._greenlets.append(gevent.spawn_later(began + at - monotonic(), action))
 
@@ -144,6 +148,9 @@
             sender.kill()
         sender.start()
 
+    def _upgrade(self, event: UpgradeEvent) -> None:
+        self.senders[event.sender].upgrade(event.how)
+
     def _drain(self, event: DrainEvent) -> None:
         """All agents report an endpoint as draining, and stop answering the watches that are open."""
         endpoint = next(endpoint for endpoint in self.endpoints if endpoint.destination == event.destination)
@@ -198,23 +205,30 @@
         records = self.records
         records.ended_at = monotonic()
         for incarnation in records.incarnations:
-            for fault in self.plan.process_faults[incarnation.sender].calls:
-                if fault.call in NETWORK_CALLS:
-                    began_at = incarnation.started_at + fault.begin_s
-                    ended_at = incarnation.started_at + fault.end_s
-                    records.network_faults.append(NetworkFault(incarnation.sender, began_at, ended_at))
+            self._record_process_faults(incarnation)
         for sender in self.senders:
             for agent in sender.agents:
                 for notice, at in agent.notices:
                     records.record_notice(sender.number, str(notice["id"]), at)
         return records
 
+    def _record_process_faults(self, incarnation: Incarnation) -> None:
+        sender = incarnation.sender
+        for fault in self.plan.process_faults[sender].calls:
+            began_at = incarnation.started_at + fault.begin_s
+            ended_at = incarnation.started_at + fault.end_s
+            if fault.call in NETWORK_CALLS:
+                self.records.network_faults.append(NetworkFault(sender, began_at, ended_at))
+            elif fault.call in DISK_CALLS and began_at < incarnation.exited_at:
+                ended_at = min(ended_at, incarnation.exited_at)
+                self.records.disk_faults.append(DiskFault(sender, began_at, ended_at))
+
     def stop(self) -> None:
         """Kills the senders and their agents, clients and endpoints."""
         for greenlet in self._greenlets:
             greenlet.kill(block=False)
         for sender in self.senders:
-            sender.kill()
+            sender.close()
             for agent in sender.agents:
                 agent.stop()
         for client_path, notice_path in zip(self.client_paths, self.notice_paths, strict=True):
--- a/ashpath/emulator/soak/plan.py
+++ b/ashpath/emulator/soak/plan.py
@@ -54,6 +54,14 @@
     how: StopMethod
 
 
+class UpgradeEvent(Struct, frozen=True):
+    """A second process of one sender starts, and the first one is stopped once the second is ready."""
+
+    at: float
+    sender: int
+    how: StopMethod
+
+
 class DrainEvent(Struct, frozen=True):
     """An endpoint drains while the discovery agents fail with `replies`.
 
@@ -126,10 +134,14 @@
     client_faults: tuple[ClientFaultEvent, ...]
     notice_faults: tuple[NoticeFaultEvent, ...]
     descriptor_limits: tuple[DescriptorLimit, ...]
+    upgrades: tuple[UpgradeEvent, ...]
+    """Of senders without a restart."""
+
 
+def draw_plan(seed: int, duration_s: float = 12.0, *, with_upgrades: bool = False) -> SoakPlan:
+    """Returns the plan for a seed; the same seed gives the same plan.
 
-def draw_plan(seed: int, duration_s: float = 12.0) -> SoakPlan:
-    """Returns the plan for a seed; the same seed gives the same plan."""
+    `with_upgrades`: whether some seeds have a hot upgrade. All other events of a seed are the same then."""
     random = Random(f"soak {seed}")
     last = duration_s - 5.0
     drain_at = random.uniform(FIRST_FAULT_S, last / 2)
@@ -165,6 +177,7 @@
         client_faults=draw_client_faults(random, last),
         notice_faults=draw_notice_faults(random, duration_s),
         descriptor_limits=draw_descriptor_limits(random),
+        upgrades=draw_upgrades(random, last, {event.sender for event in restarts}) if with_upgrades else (),
     )
 
 
@@ -197,3 +210,12 @@
     if random.random() >= 0.4:
         return ()
     return (DescriptorLimit(random.randrange(SENDERS), FEW_DESCRIPTORS, CROWDING_CLIENTS),)
+
+
+def draw_upgrades(random: Random, last: float, restarted: set[int]) -> tuple[UpgradeEvent, ...]:
+    """Draws at most one hot upgrade, of a sender that is not restarted."""
+    candidates = [sender for sender in range(SENDERS) if sender not in restarted]
+    if not candidates or random.random() >= 0.6:
+        return ()
+    at = random.uniform(FIRST_FAULT_S, last)
+    return (UpgradeEvent(at, random.choice(candidates), random.choice(tuple(StopMethod))),)
--- a/ashpath/emulator/soak/records.py
+++ b/ashpath/emulator/soak/records.py
@@ -83,6 +83,10 @@
     end_began_at: float = 1e18
     """Time of SIGTERM, or of SIGKILL if no SIGTERM was sent."""
     killed_at: float = 1e18
+    exited_at: float = 1e18
+    """When the process was seen to have exited."""
+    hands_over: bool = False
+    """Whether a hot upgrade ended the process: the next incarnation served already, on the same socket."""
 
 
 class NetworkFault(Struct, frozen=True):
@@ -93,6 +97,14 @@
     ended_at: float
 
 
+class DiskFault(Struct, frozen=True):
+    """A period in which writes of a sender's process failed."""
+
+    sender: int
+    began_at: float
+    ended_at: float
+
+
 class ClientFault(Struct, frozen=True):
     """A period in which a proxy closed connections of a sender's clients."""
 
@@ -130,6 +142,7 @@
     incarnations: list[Incarnation] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     network_faults: list[NetworkFault] = field(default_factory=list)
+    disk_faults: list[DiskFault] = field(default_factory=list)
     client_faults: list[ClientFault] = field(default_factory=list)
     notice_faults: list[NoticeFault] = field(default_factory=list)
     crashes: list[str] = field(default_factory=list)
--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -5,12 +5,13 @@
 import os
 import signal
 import sys
+from contextlib import suppress
 from pathlib import Path
 from time import monotonic
 
 import gevent
 import orjson
-from gevent import subprocess
+from gevent import socket, subprocess
 from msgspec import Struct
 
 from ashpath.core.json_types import JsonObject
@@ -19,14 +20,18 @@
 from ashpath.emulator.fault_injection.discovery_agent import DiscoveryAgent
 from ashpath.emulator.fault_injection.launcher import DESCRIPTORS_VARIABLE, SCHEDULE_VARIABLE
 from ashpath.emulator.http_client import HttpClient
+from ashpath.emulator.soak.plan import StopMethod
 from ashpath.emulator.soak.records import Incarnation, SoakRecords
-from ashpath.emulator.stand_ins import LOOPBACK
+from ashpath.emulator.stand_ins import LOOPBACK, free_port
 from ashpath.server import wire_names
+from ashpath.server.addresses import Address
 from ashpath.server.limits import ServerLimits
 
 LAUNCHER = "ashpath.emulator.fault_injection.launcher"
 READY_POLL_S = 0.02
 READY_TIMEOUT_S = 0.5
+PING_ANSWER = b"OK\n"
+BACKLOG = 1024
 KILL_AFTER_TERM_S = 3.7  # the earliest SIGKILL after SIGTERM
 DOWNTIME_S = 0.6  # between the end of a process and the next start
 DESCRIPTORS = 256  # in the configuration of a sender without a descriptor limit
@@ -38,6 +43,31 @@
     faults: ProcessFaults
     descriptor_limit: int | None = None
     """The soft limit of each process, and the descriptors in its configuration."""
+    inherits_socket: bool = False
+    """Whether its processes inherit their listening socket, as hot upgrades require."""
+
+
+class SenderProcess(Struct, frozen=True, eq=False):
+    """One process of a sender, and its address for operators' commands."""
+
+    process: subprocess.Popen[bytes]
+    incarnation: Incarnation
+    control: Address
+
+    def answers_ping(self) -> bool:
+        """Whether the process has restored its state, and listens."""
+        try:
+            with socket.create_connection(self.control, timeout=READY_TIMEOUT_S) as connection:
+                connection.sendall(b"PING\n")
+                return bool(connection.recv(len(PING_ANSWER)) == PING_ANSWER)
+        except OSError:
+            return False
+
+    def kill(self) -> None:
+        """Sends SIGKILL unless the process has exited, and waits for its exit."""
+        if self.process.poll() is None:
+            self.process.kill()
+            self.process.wait()
 
 
 class SoakSender:
@@ -63,13 +93,22 @@
         self._folder = folder
         self._settings = settings
         self._records = records
-        self._process: subprocess.Popen[bytes] | None = None
+        self._current: SenderProcess | None = None
+        self._predecessor: SenderProcess | None = None  # of the current process in a hot upgrade
+        self._listener = self._listen() if options.inherits_socket else None
         self._ready_client = HttpClient(self.address, limits, READY_TIMEOUT_S, max_idle=0)
         folder.mkdir(parents=True)
         (folder / "state").mkdir()
         (folder / "faults").write_bytes(options.faults.encode())
         self.configure(0)
 
+    def _listen(self) -> socket.socket:
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(self.address)
+        listener.listen(BACKLOG)
+        return listener
+
     def configure(self, agent_number: int) -> None:
         """Writes the configuration file, with the address and the endpoint list of one agent."""
         agent = self.agents[agent_number]
@@ -86,6 +125,21 @@
 
     def start(self) -> None:
         """Starts a process, and a greenlet that records when it becomes ready or exits."""
+        control = (LOOPBACK, free_port())
+        inherited = () if self._listener is None else (self._listener.fileno(),)
+        with (self._folder / "log").open("ab") as log:
+            process = subprocess.Popen(
+                [sys.executable, "-m", LAUNCHER],
+                env=self._environment(control),
+                stdout=log,
+                stderr=log,
+                pass_fds=inherited,
+            )
+        self._current = SenderProcess(process, Incarnation(self.number, monotonic()), control)
+        self._records.incarnations.append(self._current.incarnation)
+        gevent.spawn(self._watch, self._current)
+
+    def _environment(self, control: Address) -> dict[str, str]:
         environment = os.environ | {
             "RELAY_NAME": f"n{self.number}",
             "RELAY_LISTEN": f"{LOOPBACK}:{self.address[1]}",
@@ -96,25 +150,26 @@
         }
         if self._options.descriptor_limit:
             environment[DESCRIPTORS_VARIABLE] = str(self._options.descriptor_limit)
-        with (self._folder / "log").open("ab") as log:
-            self._process = subprocess.Popen(
-                [sys.executable, "-m", LAUNCHER], env=environment, stdout=log, stderr=log
-            )
-        incarnation = Incarnation(self.number, monotonic())
-        self._records.incarnations.append(incarnation)
-        gevent.spawn(self._watch, self._process, incarnation)
+        if self._listener is not None:
+            environment["RELAY_ACCEPT_FD"] = str(self._listener.fileno())
+            environment["RELAY_CONTROL"] = f"{LOOPBACK}:{control[1]}"
+        return environment
 
-    def _watch(self, process: subprocess.Popen[bytes], incarnation: Incarnation) -> None:
+    def _watch(self, running: SenderProcess) -> None:
         """Records when the process becomes ready, and whether it ends unexpectedly."""
-        while process.poll() is None:
-            if not incarnation.ready_at and self._is_ready():
+        incarnation = running.incarnation
+        while running.process.poll() is None:
+            if not incarnation.ready_at and self._is_ready(running):
                 incarnation.ready_at = monotonic()
             gevent.sleep(READY_POLL_S)
-        if incarnation.end_began_at > monotonic():
-            code = process.returncode
+        incarnation.exited_at = monotonic()
+        if incarnation.end_began_at > incarnation.exited_at:
+            code = running.process.returncode
             self._records.crashes.append(f"sender {self.number} ended unexpectedly with exit code {code}")
 
-    def _is_ready(self) -> bool:
+    def _is_ready(self, running: SenderProcess) -> bool:
+        if self._listener is not None:
+            return running.answers_ping()  # the other process of a hot upgrade may answer at the listener
         try:
             return self._ready_client.request(b"GET %s HTTP/1.1" % wire_names.READINESS_PATH).status == 200
         except RequestError:
@@ -123,45 +178,66 @@
     def reload(self, agent_number: int) -> None:
         """Configures another agent, and sends SIGHUP if the process is ready."""
         self.configure(agent_number)
-        process = self._process
+        current = self._current
         # Before readiness the interpreter may still be starting, with no SIGHUP handler installed.
-        is_ready = self._records.incarnations[self._incarnation_index()].ready_at > 0
-        if process is not None and process.poll() is None and is_ready:
-            process.send_signal(signal.SIGHUP)
+        if current is not None and current.process.poll() is None and current.incarnation.ready_at:
+            current.process.send_signal(signal.SIGHUP)
 
     def terminate(self) -> None:
         """Sends SIGTERM, then SIGKILL after `KILL_AFTER_TERM_S`, and waits for `DOWNTIME_S`."""
-        process = self._process
-        if process is not None:
-            self._records.incarnations[self._incarnation_index()].end_began_at = monotonic()
-            process.terminate()
+        current = self._current
+        if current is not None:
+            current.incarnation.end_began_at = monotonic()
+            current.process.terminate()
             gevent.sleep(KILL_AFTER_TERM_S)
             self.kill()
 
     def kill(self) -> None:
         """Sends SIGKILL, and waits for `DOWNTIME_S`."""
-        process = self._process
-        if process is not None:
-            incarnation = self._records.incarnations[self._incarnation_index()]
+        if self._predecessor is not None:
+            self._predecessor.kill()
+        current = self._current
+        if current is not None:
             now = monotonic()
-            incarnation.end_began_at = min(incarnation.end_began_at, now)
-            incarnation.killed_at = min(incarnation.killed_at, now)
-            if process.poll() is None:
-                process.kill()
-                process.wait()
+            current.incarnation.end_began_at = min(current.incarnation.end_began_at, now)
+            current.incarnation.killed_at = min(current.incarnation.killed_at, now)
+            current.kill()
             gevent.sleep(DOWNTIME_S)
 
-    def _incarnation_index(self) -> int:
-        numbers = [
-            n for n, incarnation in enumerate(self._records.incarnations) if incarnation.sender == self.number
-        ]
-        return numbers[-1]
+    def upgrade(self, how: StopMethod) -> None:
+        """Starts a second process, and ends the first one once the second is ready."""
+        old = self._current
+        assert old is not None
+        self._predecessor = old
+        self.start()
+        if not self._await_ready():
+            return  # the rule checker reports it
+        old.incarnation.hands_over = True
+        old.incarnation.end_began_at = monotonic()
+        if how is StopMethod.TERMINATE:
+            old.process.terminate()
+            with suppress(subprocess.TimeoutExpired):
+                old.process.wait(KILL_AFTER_TERM_S)
+        if old.process.poll() is None:
+            old.incarnation.killed_at = monotonic()
+            old.kill()
+
+    def _await_ready(self) -> bool:
+        """Waits until the current process is ready. Returns False if it exits first."""
+        current = self._current
+        while current is not None and current.process.poll() is None:
+            if current.incarnation.ready_at:
+                return True
+            gevent.sleep(READY_POLL_S)
+        return False
+
+    def close(self) -> None:
+        """Kills the processes, and closes the listening socket that they inherit."""
+        self.kill()
+        if self._listener is not None:
+            self._listener.close()
 
     @property
     def process_id(self) -> int:
         """The id of the current process; 0 before the first start."""
-        return self._process.pid if self._process is not None else 0
-
-    def is_running(self) -> bool:
-        """Whether the sender has a running process."""
-        return self._process is not None and self._process.poll() is None
+        return self._current.process.pid if self._current is not None else 0
--- a/tests/emulator/soak/test_day.py
+++ b/tests/emulator/soak/test_day.py
@@ -5,10 +5,11 @@
 from pathlib import Path
 
 import gevent
+from msgspec.structs import replace
 
 from ashpath.emulator.soak.day import SoakRun
 from ashpath.emulator.soak.judge import RuleChecker
-from ashpath.emulator.soak.plan import draw_plan
+from ashpath.emulator.soak.plan import StopMethod, draw_plan
 from ashpath.emulator.soak.settings import rule_checker_settings
 
 SEEDS = (1, 2, 15, 23)
@@ -18,6 +19,14 @@
     assert draw_plan(7) == draw_plan(7) != draw_plan(8)
 
 
+def test_upgrades_change_no_other_event_of_a_seed() -> None:
+    with_upgrades = [draw_plan(seed, with_upgrades=True) for seed in range(1, 31)]
+    assert {event.how for plan in with_upgrades for event in plan.upgrades} == set(StopMethod)
+    assert [replace(plan, upgrades=()) for plan in with_upgrades] == [
+        draw_plan(seed) for seed in range(1, 31)
+    ]
+
+
 def broken_rules(seed: int, folder: Path) -> list[str]:
     plan = draw_plan(seed)
     records = SoakRun(plan, folder / str(seed)).play()
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -75,3 +75,18 @@
     assert new.submit("b6", "free", "200", 6, time_left_ms=2500) == 202
     wait_until(lambda: new.notified("b5") and new.notified("b6"))
     assert new.attempt_count("b5") == new.attempt_count("b6") == 0
+
+
+def test_message_waits_for_predecessor_of_its_key_in_old_process(pair: tuple[World, World]) -> None:
+    """The two processes are one sender: the new one does not call a message before the outcome of an earlier
+    message with its key, which the old process still has."""
+    old, new = pair
+    assert old.submit("o1", "tag", "hang", 3, time_left_ms=3000, ordering_key="k") == 202
+    wait_until(lambda: old.attempt_count("o1"))
+    new.start()
+    assert old.process is not None
+    old.process.send_signal(signal.SIGTERM)
+    wait_until(lambda: 'event="shutdown started"' in (old.folder / "log").read_text())
+    assert new.submit("o2", "tag", "200", 3, ordering_key="k") == 202
+    wait_until(lambda: new.attempt_count("o2"))
+    assert new.notified("o1")
