--- a/ashpath/emulator/soak/plan.py
+++ b/ashpath/emulator/soak/plan.py
@@ -13,6 +13,8 @@
 
 SENDERS = 3
 DESTINATIONS = 3
+FEW_DESCRIPTORS = 150
+CROWDING_CLIENTS = 40  # more than the client connections of a sender with few descriptors
 FIRST_FAULT_S = 1.5  # earliest time of a fault after the start of the run
 FAILING_REPLIES = (
     AgentReply.SILENT,
@@ -21,6 +23,19 @@
     AgentReply.CLOSE,
     AgentReply.UNREADABLE,
 )
+CLIENT_MODES = (
+    ProxyMode.LATE,
+    ProxyMode.RESET,
+    ProxyMode.RESET_AFTER_BYTE,
+    ProxyMode.HALF_RESPONSE,
+    ProxyMode.SILENT,
+)
+NOTICE_MODES = (
+    ProxyMode.LATE,
+    ProxyMode.RESET_AFTER_BYTE,
+    ProxyMode.HALF_RESPONSE,
+    ProxyMode.SILENT,
+)
 PROXY_MODES = (ProxyMode.LATE, ProxyMode.RESET, ProxyMode.RESET_AFTER_BYTE, ProxyMode.HALF_RESPONSE)
 
 
@@ -39,6 +54,14 @@
     how: StopMethod
 
 
+class UpgradeEvent(Struct, frozen=True):
+    """A second process of one sender starts, and the first one is stopped once the second is ready."""
+
+    at: float
+    sender: int
+    how: StopMethod
+
+
 class DrainEvent(Struct, frozen=True):
     """An endpoint drains while the discovery agents fail with `replies`.
 
@@ -60,6 +83,32 @@
     mode: ProxyMode
 
 
+class ClientFaultEvent(Struct, frozen=True):
+    """Connections of the clients of one sender fail in one way for a limited time."""
+
+    at: float
+    until: float
+    sender: int
+    mode: ProxyMode
+
+
+class NoticeFaultEvent(Struct, frozen=True):
+    """Connections that carry the notices of one sender fail in one way for a limited time."""
+
+    at: float
+    until: float
+    sender: int
+    mode: ProxyMode
+
+
+class DescriptorLimit(Struct, frozen=True):
+    """Each process of one sender has few descriptors, while idle clients crowd it."""
+
+    sender: int
+    descriptors: int
+    idle_clients: int
+
+
 class OutageEvent(Struct, frozen=True):
     """A destination is down, and resets every connection that sends a call."""
 
@@ -82,10 +131,17 @@
     outages: tuple[OutageEvent, ...]
     process_faults: tuple[ProcessFaults, ...]
     """By sender; each process of that sender has these faults."""
+    client_faults: tuple[ClientFaultEvent, ...]
+    notice_faults: tuple[NoticeFaultEvent, ...]
+    descriptor_limits: tuple[DescriptorLimit, ...]
+    upgrades: tuple[UpgradeEvent, ...]
+    """Of senders without a restart."""
 
 
-def draw_plan(seed: int, duration_s: float = 12.0) -> SoakPlan:
-    """Returns the plan for a seed; the same seed gives the same plan."""
+def draw_plan(seed: int, duration_s: float = 12.0, *, with_upgrades: bool = False) -> SoakPlan:
+    """Returns the plan for a seed; the same seed gives the same plan.
+
+    `with_upgrades`: whether some seeds have a hot upgrade. All other events of a seed are the same then."""
     random = Random(f"soak {seed}")
     last = duration_s - 5.0
     drain_at = random.uniform(FIRST_FAULT_S, last / 2)
@@ -104,14 +160,62 @@
     if random.random() < 0.5:
         at = random.uniform(FIRST_FAULT_S, last / 2)
         outages = [OutageEvent(at, at + random.uniform(2.5, 4.0), 2)]
+    # Events are drawn in the order in which they were added to the plan, so that a seed keeps its events.
+    rate = random.uniform(8.0, 25.0)
+    idle_clients = random.choice((0, 0, 150))
+    process_faults = tuple(draw_faults(random, duration_s) for _ in range(SENDERS))
     return SoakPlan(
         seed=seed,
         duration_s=duration_s,
-        rate=random.uniform(8.0, 25.0),
-        idle_clients=random.choice((0, 0, 150)),
+        rate=rate,
+        idle_clients=idle_clients,
         restarts=tuple(sorted(restarts, key=lambda event: event.at)),
         drains=(drain,),
         proxies=tuple(proxies),
         outages=tuple(outages),
-        process_faults=tuple(draw_faults(random, duration_s) for _ in range(SENDERS)),
+        process_faults=process_faults,
+        client_faults=draw_client_faults(random, last),
+        notice_faults=draw_notice_faults(random, duration_s),
+        descriptor_limits=draw_descriptor_limits(random),
+        upgrades=draw_upgrades(random, last, {event.sender for event in restarts}) if with_upgrades else (),
     )
+
+
+def draw_client_faults(random: Random, last: float) -> tuple[ClientFaultEvent, ...]:
+    """Draws at most one fault of the clients' path of each sender, which begins at `last` at the latest."""
+    faults = []
+    for sender in range(SENDERS):
+        if random.random() < 0.5:
+            at = random.uniform(FIRST_FAULT_S, last)
+            faults.append(
+                ClientFaultEvent(at, at + random.uniform(0.3, 1.2), sender, random.choice(CLIENT_MODES))
+            )
+    return tuple(faults)
+
+
+def draw_notice_faults(random: Random, duration_s: float) -> tuple[NoticeFaultEvent, ...]:
+    """Draws at most one fault of the notices of each sender. Most notices follow the first deadlines."""
+    faults = []
+    for sender in range(SENDERS):
+        if random.random() < 0.5:
+            at = random.uniform(FIRST_FAULT_S, duration_s)
+            faults.append(
+                NoticeFaultEvent(at, at + random.uniform(0.5, 2.0), sender, random.choice(NOTICE_MODES))
+            )
+    return tuple(faults)
+
+
+def draw_descriptor_limits(random: Random) -> tuple[DescriptorLimit, ...]:
+    """Draws at most one sender with few descriptors."""
+    if random.random() >= 0.4:
+        return ()
+    return (DescriptorLimit(random.randrange(SENDERS), FEW_DESCRIPTORS, CROWDING_CLIENTS),)
+
+
+def draw_upgrades(random: Random, last: float, restarted: set[int]) -> tuple[UpgradeEvent, ...]:
+    """Draws at most one hot upgrade, of a sender that is not restarted."""
+    candidates = [sender for sender in range(SENDERS) if sender not in restarted]
+    if not candidates or random.random() >= 0.6:
+        return ()
+    at = random.uniform(FIRST_FAULT_S, last)
+    return (UpgradeEvent(at, random.choice(candidates), random.choice(tuple(StopMethod))),)
--- a/ashpath/emulator/soak/run.py
+++ b/ashpath/emulator/soak/run.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 from random import Random
 from time import monotonic
@@ -16,87 +17,35 @@
 from ashpath.emulator.fault_injection.tcp_proxy import ProxyMode
 from ashpath.emulator.soak.clients import SoakClients
 from ashpath.emulator.soak.endpoints import SoakEndpoint
-from ashpath.emulator.soak.judge import RuleCheckerSettings
+from ashpath.emulator.soak.paths import ClientPath, NoticePath
 from ashpath.emulator.soak.plan import (
     DESTINATIONS,
     SENDERS,
+    ClientFaultEvent,
     DrainEvent,
+    NoticeFaultEvent,
     OutageEvent,
     ProxyEvent,
     RestartEvent,
     SoakPlan,
     StopMethod,
+    UpgradeEvent,
 )
-from ashpath.emulator.soak.records import Departure, Effect, NetworkFault, Outage, SoakRecords
-from ashpath.emulator.soak.sender import SoakSender
+from ashpath.emulator.soak.records import Departure, DiskFault, Incarnation, NetworkFault, Outage, SoakRecords
+from ashpath.emulator.soak.sender import SenderOptions, SoakSender
+from ashpath.emulator.soak.settings import soak_settings
 from ashpath.emulator.stand_ins import free_port, stand_in_limits
 
 NETWORK_CALLS = (FaultyCall.SOCKET, FaultyCall.CONNECT, FaultyCall.RECEIVE)
+DISK_CALLS = (FaultyCall.WRITE, FaultyCall.TRUNCATE, FaultyCall.RENAME, FaultyCall.OPEN)
 AGENTS_PER_SENDER = 2  # SIGHUP switches the sender between its agents
 RELOAD_INTERVAL_S = 0.3
 SILENT_WATCH_TIMEOUT_S = 6.0  # by then a sender has an endpoint list that its open watch did not deliver
 RELOAD_TIMEOUT_S = 4.0  # by then a sender has the list of the agent that SIGHUP switched it to
-DEDUPLICATION_WINDOW_MS = 5000.0
-DRAIN_GRACE_MS = 250.0
-COLD_SHARE = 0.3
-OVERLOAD_MULTIPLE = 3.0
-OVERLOAD_MS = 1000.0
 FINAL_WAIT_S = 9.0  # after the last request: covers the longest deadline and a restart
 START_TIMEOUT_S = 15.0  # until all senders are ready
 
 
-def soak_settings() -> JsonObject:
-    """Returns the settings of the run in the form that the platform writes."""
-    classes = [
-        {
-            "name": effect.value,
-            "deadline": 8000.0,
-            "slo": 1000.0,
-            "repeat": repeat,
-            "window": DEDUPLICATION_WINDOW_MS,
-            "importance": 1.0,
-            "one-at-a-time": effect is Effect.DEDUPLICATED,
-        }
-        for effect, repeat in zip(Effect, ("retryable", "dedup", "fragile"), strict=True)
-    ]
-    return {
-        "classes": classes,
-        "kinds": ["plain"],
-        "zones": ["here"],
-        "group-size": SENDERS,
-        "limits": {
-            "max-open": 200,
-            "max-attempts": 6,
-            "retry-after": True,
-            "max-retry-after": 3000.0,
-            "conn-idle": 2000.0,
-            "connect-timeout": 500.0,
-            "cancelling": True,
-        },
-        "specifics": {"slots": 48},
-        "contract": {
-            "drain-grace": DRAIN_GRACE_MS,
-            "order-settle": 200.0,
-            "cold-from": COLD_SHARE,
-            "fall": OVERLOAD_MS,
-            "fall-multiple": OVERLOAD_MULTIPLE,
-            "ramp-time": 3000.0,
-        },
-    }
-
-
-def rule_checker_settings(plan: SoakPlan) -> RuleCheckerSettings:
-    """Returns the rule checker's settings, which follow from the settings of the run."""
-    capacity = plan.rate * SENDERS / DESTINATIONS
-    return RuleCheckerSettings(
-        grace_s=DRAIN_GRACE_MS / 1000,
-        window_s=DEDUPLICATION_WINDOW_MS / 1000,
-        overload_s=OVERLOAD_MS / 1000,
-        cold_rate=COLD_SHARE * capacity,
-        overload_multiple=OVERLOAD_MULTIPLE,
-    )
-
-
 class SoakRun:
     """One run. `folder` receives the logs and the state directories of the senders."""
 
@@ -112,27 +61,38 @@
         self.draining: set[str] = set()
         self.senders = []
         self.clients = []
+        self.client_paths = []
+        self.notice_paths = []
         for number in range(SENDERS):
             agents = [DiscoveryAgent(self.members(number), limits) for _ in range(AGENTS_PER_SENDER)]
             for agent in agents:
                 agent.retry_after_s = 2.0
-            faults = plan.process_faults[number]
+            notice_path = NoticePath(number, [agent.address for agent in agents], self.records)
+            self.notice_paths.append(notice_path)
             sender = SoakSender(
                 number,
                 free_port(),
                 folder / f"n{number}",
                 soak_settings(),
                 agents,
-                faults,
+                notice_path.addresses,
+                self._sender_options(number),
                 self.records,
                 limits,
             )
             self.senders.append(sender)
+            path = ClientPath(number, sender.address, self.records)
+            self.client_paths.append(path)
             self.clients.append(
-                SoakClients(number, sender.address, plan.rate, DESTINATIONS, self.records, random, limits)
+                SoakClients(number, path.address, plan.rate, DESTINATIONS, self.records, random, limits)
             )
         self._greenlets: list[Greenlet[..., None]] = []
 
+    def _sender_options(self, sender: int) -> SenderOptions:
+        limits = {limit.sender: limit.descriptors for limit in self.plan.descriptor_limits}
+        upgraded = {event.sender for event in self.plan.upgrades}
+        return SenderOptions(self.plan.process_faults[sender], limits.get(sender), sender in upgraded)
+
     def members(self, sender: int) -> list[JsonObject]:
         """Returns the current endpoint list, with the addresses that the sender uses."""
         return [
@@ -167,11 +127,16 @@
         plan = self.plan
         self._greenlets = [gevent.spawn(clients.run) for clients in self.clients]
         self.clients[0].connect_idle(plan.idle_clients)
+        for limit in plan.descriptor_limits:
+            self._greenlets.append(gevent.spawn(self.clients[limit.sender].crowd, limit.idle_clients))
         events: list[tuple[float, Callable[[], None]]] = []
-        events += [(event.at, lambda event=event: self._restart(event)) for event in plan.restarts]  # type: ignore[misc]  # bound in the loop
-        events += [(event.at, lambda event=event: self._drain(event)) for event in plan.drains]  # type: ignore[misc]  # bound in the loop
-        events += [(event.at, lambda event=event: self._fail_connections(event)) for event in plan.proxies]  # type: ignore[misc]  # bound in the loop
-        events += [(event.at, lambda event=event: self._cause_outage(event)) for event in plan.outages]  # type: ignore[misc]  # bound in the loop
+        events += [(event.at, partial(self._restart, event)) for event in plan.restarts]
+        events += [(event.at, partial(self._drain, event)) for event in plan.drains]
+        events += [(event.at, partial(self._fail_connections, event)) for event in plan.proxies]
+        events += [(event.at, partial(self._cause_outage, event)) for event in plan.outages]
+        events += [(event.at, partial(self._fail_client_path, event)) for event in plan.client_faults]
+        events += [(event.at, partial(self._fail_notices, event)) for event in plan.notice_faults]
+        events += [(event.at, partial(self._upgrade, event)) for event in plan.upgrades]
         for at, action in events:
             self._greenlets.append(gevent.spawn_later(began + at - monotonic(), action))
 
@@ -183,6 +148,9 @@
             sender.kill()
         sender.start()
 
+    def _upgrade(self, event: UpgradeEvent) -> None:
+        self.senders[event.sender].upgrade(event.how)
+
     def _drain(self, event: DrainEvent) -> None:
         """All agents report an endpoint as draining, and stop answering the watches that are open."""
         endpoint = next(endpoint for endpoint in self.endpoints if endpoint.destination == event.destination)
@@ -196,7 +164,7 @@
         for move in range(event.moves):
             gevent.sleep(RELOAD_INTERVAL_S)
             for sender in self.senders:
-                sender.reload(sender.agents[(move + 1) % AGENTS_PER_SENDER])
+                sender.reload((move + 1) % AGENTS_PER_SENDER)
         if event.moves:
             received_by = max(received_by, monotonic() + RELOAD_TIMEOUT_S)
         for sender in self.senders:
@@ -217,6 +185,12 @@
         for endpoint in endpoints:
             endpoint.sends_retry_after = True
 
+    def _fail_client_path(self, event: ClientFaultEvent) -> None:
+        self.client_paths[event.sender].fail(event.mode, event.until - event.at)
+
+    def _fail_notices(self, event: NoticeFaultEvent) -> None:
+        self.notice_paths[event.sender].fail(event.mode, event.until - event.at)
+
     def _cause_outage(self, event: OutageEvent) -> None:
         endpoints = [endpoint for endpoint in self.endpoints if endpoint.destination == event.destination]
         began_at = monotonic()
@@ -231,24 +205,34 @@
         records = self.records
         records.ended_at = monotonic()
         for incarnation in records.incarnations:
-            for fault in self.plan.process_faults[incarnation.sender].calls:
-                if fault.call in NETWORK_CALLS:
-                    began_at = incarnation.started_at + fault.begin_s
-                    ended_at = incarnation.started_at + fault.end_s
-                    records.network_faults.append(NetworkFault(incarnation.sender, began_at, ended_at))
+            self._record_process_faults(incarnation)
         for sender in self.senders:
             for agent in sender.agents:
                 for notice, at in agent.notices:
-                    records.notices.setdefault(str(notice["id"]), at)
+                    records.record_notice(sender.number, str(notice["id"]), at)
         return records
 
+    def _record_process_faults(self, incarnation: Incarnation) -> None:
+        sender = incarnation.sender
+        for fault in self.plan.process_faults[sender].calls:
+            began_at = incarnation.started_at + fault.begin_s
+            ended_at = incarnation.started_at + fault.end_s
+            if fault.call in NETWORK_CALLS:
+                self.records.network_faults.append(NetworkFault(sender, began_at, ended_at))
+            elif fault.call in DISK_CALLS and began_at < incarnation.exited_at:
+                ended_at = min(ended_at, incarnation.exited_at)
+                self.records.disk_faults.append(DiskFault(sender, began_at, ended_at))
+
     def stop(self) -> None:
         """Kills the senders and their agents, clients and endpoints."""
         for greenlet in self._greenlets:
             greenlet.kill(block=False)
         for sender in self.senders:
-            sender.kill()
+            sender.close()
             for agent in sender.agents:
                 agent.stop()
+        for client_path, notice_path in zip(self.client_paths, self.notice_paths, strict=True):
+            client_path.stop()
+            notice_path.stop()
         for endpoint in self.endpoints:
             endpoint.stop()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -21,14 +21,15 @@
 
 from ashpath.emulator.soak.judge import BrokenRule, RuleChecker
 from ashpath.emulator.soak.plan import draw_plan
-from ashpath.emulator.soak.run import SoakRun, rule_checker_settings
+from ashpath.emulator.soak.run import SoakRun
+from ashpath.emulator.soak.settings import rule_checker_settings
 
 MAX_FINDINGS_SHOWN = 4  # findings printed for one seed
 
 
 def run_seed(seed: int, folder: Path) -> list[BrokenRule]:
     """Runs one seed. Returns the broken rules; if there are any, the run's records are in the folder."""
-    plan = draw_plan(seed)
+    plan = draw_plan(seed, with_upgrades=True)
     run_folder = folder / f"seed-{seed}"
     records = SoakRun(plan, run_folder).play()
     broken = RuleChecker(records, rule_checker_settings(plan)).broken_rules()
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -109,3 +109,18 @@
         gevent.sleep(0.02)
     wait_until(lambda: new.attempt_count("held") == 1)
     recovered_endpoint.stop()
+
+
+def test_message_waits_for_predecessor_of_its_key_in_old_process(pair: tuple[World, World]) -> None:
+    """The two processes are one sender: the new one does not call a message before the outcome of an earlier
+    message with its key, which the old process still has."""
+    old, new = pair
+    assert old.submit("o1", "tag", "hang", 3, time_left_ms=3000, ordering_key="k") == 202
+    wait_until(lambda: old.attempt_count("o1"))
+    new.start()
+    assert old.process is not None
+    old.process.send_signal(signal.SIGTERM)
+    wait_until(lambda: 'event="shutdown started"' in (old.folder / "log").read_text())
+    assert new.submit("o2", "tag", "200", 3, ordering_key="k") == 202
+    wait_until(lambda: new.attempt_count("o2"))
+    assert new.notified("o1")
