--- a/tests/server/delivery/test_attempt_runner.py
+++ b/tests/server/delivery/test_attempt_runner.py
@@ -7,7 +7,7 @@
 import gevent
 import pytest
 from gevent import Timeout, socket
-from msgspec.structs import replace
+from support.limits import limits_with
 from support.stages import DeliveryStages
 from support.world import LIMITS, World, wait_until
 
@@ -75,7 +75,7 @@
 
     world.servers[0].set_handle(serve)
     stages = DeliveryStages(world)
-    stages.pool.limits = replace(LIMITS, response_rest_s=0.05)
+    stages.pool.limits = limits_with(response_rest_s=0.05)
     for count, (data, (outcome, kept)) in enumerate(RESPONSES.items(), 1):
         stages.start("s", b"")
         wait_until(lambda count=count: len(stages.outcomes) == count)  # type: ignore[misc]  # bound in the loop
@@ -247,7 +247,7 @@
 def test_exhausted_connection_pool_is_a_local_fault(world: World) -> None:
     """The attempt is not sent because all connections are in use, which is a local fault."""
     stages = DeliveryStages(world)
-    stages.pool.limits = replace(LIMITS, endpoint_connections=0)
+    stages.pool.limits = limits_with(endpoint_connections=0)
     stages.start("a", b"200")
     wait_until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [AttemptOutcome.LOCAL_FAULT]
--- a/tests/server/delivery/test_endpoint_registry.py
+++ b/tests/server/delivery/test_endpoint_registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from msgspec.structs import replace
+from support.limits import limits_with
 from support.server import LOG
 from support.stages import DeliveryStages
 from support.world import LIMITS, World, wait_until
@@ -53,7 +53,7 @@
     registry.apply_members([], complete=True)
     assert registry.serves(1)
     assert not registry.serves(2)
-    registry.pool.limits = replace(LIMITS, forget_destination_s=0.0)
+    registry.pool.limits = limits_with(forget_destination_s=0.0)
     registry.apply_members([{**row, "cell": 2}], complete=True)
     assert registry.serves(2)
     assert not registry.serves(1)
--- a/tests/server/delivery/test_file_notifier.py
+++ b/tests/server/delivery/test_file_notifier.py
@@ -7,16 +7,16 @@
 
 import gevent
 import pytest
-from msgspec.structs import replace
+from support.limits import limits_with
 from support.notifications import ended_message
-from support.world import LIMITS, wait_until
+from support.world import wait_until
 
 from ashpath.server.delivery.file_notifier import FileNotifier
 from ashpath.server.delivery.rotating_file import RotatingFile
 
 
 def test_each_notification_is_one_line_of_the_file(tmp_path: Path) -> None:
-    limits = replace(LIMITS, notification_batch=2)
+    limits = limits_with(notification_batch=2)
     notifier = FileNotifier(RotatingFile(tmp_path / "n", 1000, 1), limits, Mock(), Mock())
     for trace_id in "abc":
         notifier.add(ended_message(trace_id))
@@ -40,7 +40,7 @@
         append(data)
 
     monkeypatch.setattr(file, "append", fail_first)
-    notifier = FileNotifier(file, replace(LIMITS, retry_s=0.001), log, logger)
+    notifier = FileNotifier(file, limits_with(retry_s=0.001), log, logger)
     message = ended_message("a")
     notifier.add(message)
     running = gevent.spawn(notifier.run)
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -13,7 +13,7 @@
 import pytest
 from gevent import socket
 from gevent.server import StreamServer
-from msgspec.structs import replace
+from support.limits import limits_with
 from support.server import LOG, address_of
 from support.stages import DeliveryStages
 from support.world import LIMITS, World, reset_connection, wait_until
@@ -168,7 +168,7 @@
     answers, next_query = NEXT_QUERIES[name]
     agent = ScriptedAgent(world, [*answers, "hold"])
     listener = RegistryListener(DeliveryStages(world).registry)
-    limits = replace(LIMITS, watch_s=0.01, retry_s=0.01, discovery_rejected_backoff_s=0.01)
+    limits = limits_with(watch_s=0.01, retry_s=0.01, discovery_rejected_backoff_s=0.01)
     client = DiscoveryClient(agent.address, limits, 5, listener, Random(1), LOG)
     running = gevent.spawn(client.run)
     wait_until(lambda: len(agent.queries) == 2)
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -12,7 +12,6 @@
 import pytest
 import structlog
 from gevent import socket
-from msgspec.structs import replace
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.backoff import Backoff
@@ -30,6 +29,7 @@
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import now
+from support.limits import limits_with
 from support.world import LIMITS, POLICY_SETTINGS, TRAFFIC_CLASSES, World
 
 
@@ -69,7 +69,7 @@
 
 def client_listener(folder: Path, max_bytes: int = 1 << 20, **limits: float) -> ListenerStages:
     """Returns a listener for destination 1, not bound to a socket. `limits` replace the defaults."""
-    server_limits = replace(LIMITS, **limits)
+    server_limits = limits_with(**limits)
     log = WriteAheadLog(folder, max_bytes)
     receiver = RecordingReceiver()
     logger = structlog.get_logger()
