--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -27,7 +27,7 @@
 from ashpath.server.delivery.rotating_file import RotatingFile
 from ashpath.server.errors import UNUSABLE_CONFIGURATION_ERRORS, ConfigurationError, error_text
 from ashpath.server.http.status_api import StatusApi
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import LogFormat, Logger
 from ashpath.server.policy_runner import PolicyRunner
 from ashpath.server.sender import Sender
--- a/ashpath/emulator/demo/destinations.py
+++ b/ashpath/emulator/demo/destinations.py
@@ -11,7 +11,7 @@
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.run_clock import RunClock
 from ashpath.emulator.units import SECOND
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 SLOW_START_SHARE = 1 / 4  # share of the time of arrivals
 
--- a/ashpath/emulator/destination/server.py
+++ b/ashpath/emulator/destination/server.py
@@ -24,7 +24,7 @@
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.http.messages import HttpRequest
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 STATUS_LINES = {
     CallResult.OK: b"HTTP/1.1 200 OK",
--- a/ashpath/emulator/loopback/senders.py
+++ b/ashpath/emulator/loopback/senders.py
@@ -14,7 +14,7 @@
 from ashpath.emulator.scenario.settings import sender_configuration
 from ashpath.emulator.sender_process import READINESS_POLL_S, SenderProcess
 from ashpath.emulator.stand_ins import LOOPBACK, free_port
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 START_TIMEOUT_S = 20.0
 
--- a/ashpath/emulator/notice_receiver.py
+++ b/ashpath/emulator/notice_receiver.py
@@ -15,7 +15,7 @@
 from ashpath.server import wire_names
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
 
--- a/ashpath/emulator/sender_process.py
+++ b/ashpath/emulator/sender_process.py
@@ -12,7 +12,7 @@
 from ashpath.emulator.errors import RequestError, SenderStartError
 from ashpath.emulator.http_client import HttpClient
 from ashpath.server import wire_names
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 READINESS_TIMEOUT_S = 1.0
 READINESS_POLL_S = 0.05
--- a/ashpath/emulator/soak/endpoints.py
+++ b/ashpath/emulator/soak/endpoints.py
@@ -18,7 +18,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 RETRY_AFTER_S = 0.6
 HANG_S = 30.0
--- a/ashpath/emulator/stand_ins.py
+++ b/ashpath/emulator/stand_ins.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from ashpath.core.policy_settings import policy_settings
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 LOOPBACK = "127.0.0.1"
 PORT_RANGE = (10_000, 32_000)
--- a/ashpath/server/agent_client.py
+++ b/ashpath/server/agent_client.py
@@ -15,7 +15,7 @@
 from ashpath.server.http.encoding import encode_message, host_header
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError, UnreadableResponseError
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 Headers = Sequence[tuple[bytes, bytes]]
 
--- a/ashpath/server/configuration.py
+++ b/ashpath/server/configuration.py
@@ -23,7 +23,7 @@
 from ashpath.core.traffic_class_ids import number_traffic_classes
 from ashpath.server.addresses import Address, parse_address
 from ashpath.server.errors import ListenAddressError
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 
 class SenderSettings(Struct, frozen=True):
--- a/ashpath/server/control/connection.py
+++ b/ashpath/server/control/connection.py
@@ -15,7 +15,7 @@
 from ashpath.server.control.connection_table import ControlConnectionTable
 from ashpath.server.control.errors import InvalidCommandError
 from ashpath.server.control.protocol import encode_result, parse_command
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 
 READ_BYTES = 512  # per read: more than a line may have
--- a/ashpath/server/control/listener.py
+++ b/ashpath/server/control/listener.py
@@ -1,8 +1,8 @@
 """Accepts operators' connections at the control address.
 
-Each connection has a greenlet and a time limit of its own (`ServerLimits.control_timeout_s`): an operator
+Each connection has a greenlet and a time limit of its own (`ControlLimits.control_timeout_s`): an operator
 that stays connected and sends nothing, or an incomplete line, delays no other operator. At
-`ServerLimits.control_connections` open connections, the longest silent one without unread bytes is evicted
+`ControlLimits.control_connections` open connections, the longest silent one without unread bytes is evicted
 for the next: silent connections block no operator, and their descriptors are limited to that number. The
 `CommandHandler` implements the commands.
 """
@@ -18,7 +18,7 @@
 from ashpath.server.control.commands import CommandHandler
 from ashpath.server.control.connection import ControlConnection
 from ashpath.server.control.connection_table import ControlConnectionTable
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.local_errors import is_closed
 from ashpath.server.logs import Logger
 
--- a/ashpath/server/delivery/connection_pool.py
+++ b/ashpath/server/delivery/connection_pool.py
@@ -24,7 +24,7 @@
 from ashpath.server.addresses import Address
 from ashpath.server.delivery.errors import ConnectionPoolFullError
 from ashpath.server.http.connection import HttpConnection, open_connection
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 # The new idle limit of an endpoint, as a fraction of the idle time after which it dropped a connection.
 TRUSTED_IDLE_FRACTION = 0.8
@@ -122,7 +122,7 @@
             self.close(self.idle[endpoint_id].popleft().connection)
             if not self.idle[endpoint_id]:
                 del self.idle[endpoint_id]
-        return self.open < self.limits.endpoint_connections
+        return self.open < self.limits.endpoints.endpoint_connections
 
     def idle_limit(self, endpoint_id: str) -> float:
         """Returns the seconds for which connections of the endpoint may be idle before they are closed."""
--- a/ashpath/server/delivery/file_notifier.py
+++ b/ashpath/server/delivery/file_notifier.py
@@ -11,7 +11,7 @@
 
 from ashpath.server.delivery.notifier import PendingNotifications, encode_batch
 from ashpath.server.delivery.rotating_file import RotatingFile
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
--- a/ashpath/server/delivery/http_notifier.py
+++ b/ashpath/server/delivery/http_notifier.py
@@ -23,7 +23,7 @@
 from ashpath.server.backoff import Backoff
 from ashpath.server.delivery.notifier import PendingNotifications, encode_batch
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
--- a/ashpath/server/deployment.py
+++ b/ashpath/server/deployment.py
@@ -12,7 +12,7 @@
 
 from ashpath.server.configuration import SenderConfiguration
 from ashpath.server.delivery.notifier import Notifier
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -42,7 +42,7 @@
 )
 from ashpath.server.discovery.state import DiscoveryState, DiscoveryStateLog
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 
 OK_STATUS = 200
@@ -191,13 +191,13 @@
 
         A healthy agent returns a snapshot at once. As the agent may be slow, a poll for a snapshot may take
         longer if the lease has time."""
-        watch_s = self.limits.watch_s + self.limits.watch_grace_s
+        watch_s = self.limits.discovery.watch_s + self.limits.discovery.watch_grace_s
         if self.revision is not None:
             return watch_s
         if self.pushed:
-            return self.limits.pushed_snapshot_s
+            return self.limits.discovery.pushed_snapshot_s
         share_s = self.lease.remaining(monotonic()) * POLL_SHARE
-        return min(watch_s, max(self.limits.snapshot_s, share_s))
+        return min(watch_s, max(self.limits.discovery.snapshot_s, share_s))
 
     def poll(self, timeout_s: float) -> HttpResponse | None:
         """Polls once; returns the response, or None if none arrived within `timeout_s`."""
--- a/ashpath/server/errors.py
+++ b/ashpath/server/errors.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ashpath.core.errors import InvalidSettingError
+from ashpath.server.limits.errors import UnknownLimitError
 from ashpath.server.storage.errors import StorageError
 
 if TYPE_CHECKING:
@@ -81,7 +82,6 @@
     are prefixed with the type of the error."""
     if isinstance(error, StartupError | InvalidSettingError):
         return str(error)
-    kind = (
-        error.reported_as if isinstance(error, StorageError | InvalidAddressError) else type(error).__name__
-    )
-    return f"{kind} {error}"
+    if isinstance(error, StorageError | InvalidAddressError | UnknownLimitError):
+        return f"{error.reported_as} {error}"
+    return f"{type(error).__name__} {error}"
--- a/ashpath/server/http/client_connection.py
+++ b/ashpath/server/http/client_connection.py
@@ -24,7 +24,7 @@
 )
 from ashpath.server.http.messages import HttpRequest
 from ashpath.server.http.request_handler import RequestHandler
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 
 # Bound once: the access to an enumeration's member costs as much as the state transition that uses it.
--- a/ashpath/server/http/connection.py
+++ b/ashpath/server/http/connection.py
@@ -58,7 +58,7 @@
 from ashpath.server.http.messages import OK, HttpMessage, HttpRequest, HttpResponse, Parser
 from ashpath.server.http.receive_buffer import ReceiveBuffer
 from ashpath.server.http.transport import BufferedSocket
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 END_OF_HEAD = b"\r\n\r\n"
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([1-5][0-9][0-9])( [^\r\n]*)?\r?\n")
--- a/ashpath/server/http/connection_table.py
+++ b/ashpath/server/http/connection_table.py
@@ -37,7 +37,7 @@
 import gevent
 
 from ashpath.server.http.connection import HttpConnection
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 
 class ConnectionState(Enum):
--- a/ashpath/server/http/listener.py
+++ b/ashpath/server/http/listener.py
@@ -15,7 +15,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.connection_table import ConnectionState, ConnectionTable
 from ashpath.server.http.request_handler import RequestHandler, RequestResponder
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.local_errors import is_closed
 from ashpath.server.logs import Logger
 
--- /dev/null
+++ b/ashpath/server/limits/storage.py
@@ -0,0 +1,17 @@
+"""Limits of the files of the state directory."""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+
+class StorageLimits(Struct, frozen=True):
+    """Disk space, and final outcomes that are kept for queries of clients."""
+
+    disk_bytes: int
+    """Disk space of the write-ahead log, its old and its new file together, with the shared memory and the
+    outages."""
+    outcome_store_bytes: int = 0
+    """The size of the final outcomes on disk, and as much in memory. A sender's own file sets it."""
+    outcome_retention_s: float = 0.0
+    """Time for which a final outcome is kept. A sender's own file sets it."""
--- a/ashpath/server/platform_deployment.py
+++ b/ashpath/server/platform_deployment.py
@@ -32,7 +32,7 @@
     StartupError,
     UnusableConfigurationError,
 )
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.log_writer import LogWriter
 from ashpath.server.logs import LogFormat, Logger, create_logger
 from ashpath.server.policy_runner import PolicyRunner
--- a/ashpath/server/reload.py
+++ b/ashpath/server/reload.py
@@ -113,10 +113,11 @@
             max_in_flight=min(settings.policy_settings.max_in_flight, self.limits.endpoint_connections),
         )
         self.pool.apply_limits(
-            replace(
-                self.limits,
-                connect_s=configuration.limits.connect_s,
-                endpoint_idle_s=configuration.limits.endpoint_idle_s,
+            self.limits.with_fields(
+                {
+                    "connect_s": configuration.limits.connect_s,
+                    "endpoint_idle_s": configuration.limits.endpoint_idle_s,
+                }
             )
         )
         self.registry.configure(settings.kinds, settings.zones)
--- a/ashpath/server/shutdown.py
+++ b/ashpath/server/shutdown.py
@@ -32,7 +32,7 @@
 from ashpath.server.delivery.notifier import Notifier
 from ashpath.server.http.admission import Admission
 from ashpath.server.http.listener import ClientListener
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 from ashpath.server.policy_runner import PolicyRunner
 
--- a/ashpath/server/state_files.py
+++ b/ashpath/server/state_files.py
@@ -4,7 +4,7 @@
 
 from __future__ import annotations
 
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
 from ashpath.server.sender import ProcessOptions
 from ashpath.server.storage import outage_store, shared_memory
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -36,7 +36,7 @@
 from gevent import socket, subprocess
 
 from ashpath.core.policy_settings import sender_settings
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from benchmarks.figure_storage import ROOT, store_figures
 from benchmarks.start import extract
 from benchmarks.upgrade_surroundings import (
--- a/benchmarks/upgrade_surroundings.py
+++ b/benchmarks/upgrade_surroundings.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 NUMBER_OF_DESTINATIONS = 6
 CLIENT_PAUSE_S = 0.02  # mean pause between two requests of a client
--- a/tests/config/test_platform_form.py
+++ b/tests/config/test_platform_form.py
@@ -9,7 +9,7 @@
 from ashpath.config.loading import read_configuration
 from ashpath.config.platform_form import platform_form
 from ashpath.core.policy_settings import sender_settings
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 PLATFORM_SETTINGS = {
     "classes": [
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -27,7 +27,7 @@
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import stored_time
--- a/tests/support/limits.py
+++ b/tests/support/limits.py
@@ -4,17 +4,18 @@
 
 from typing import Any
 
-from msgspec.structs import asdict, replace
+from msgspec.structs import asdict
 
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 from support.world import LIMITS
 
 
 def limits_with(**values: float) -> ServerLimits:
     """Returns the limits of the tests with other values, by the keys of the table `own`."""
-    return replace(LIMITS, **values)
+    return LIMITS.with_fields(values)
 
 
 def values_by_key(limits: ServerLimits) -> dict[str, Any]:
     """Returns all values, by the keys of the table `own`."""
-    return asdict(limits)
+    structures = asdict(limits).values()
+    return {key: value for structure in structures for key, value in asdict(structure).items()}
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -26,7 +26,7 @@
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.http.messages import HttpRequest
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 PORTS = (10_000, 32_000)
 RANDOM = Random()  # not seeded: concurrent test runs must not draw the same ports
