--- a/ashpath/emulator/demo/clients.py
+++ b/ashpath/emulator/demo/clients.py
@@ -16,7 +16,7 @@
 from ashpath.emulator.http_client import HttpClient
 from ashpath.emulator.notice_receiver import Notice, NoticeReceiver
 from ashpath.server import wire_names
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 CLIENT_CONNECTIONS = 20
 RESPONSE_TIMEOUT_S = 2.0
@@ -34,7 +34,7 @@
         self,
         address: tuple[str, int],
         destinations: Sequence[DemoDestination],
-        limits: ServerLimits,
+        limits: HttpLimits,
         random: Random,
         rate: float,
     ) -> None:
--- a/ashpath/emulator/demo/destinations.py
+++ b/ashpath/emulator/demo/destinations.py
@@ -11,7 +11,7 @@
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.run_clock import RunClock
 from ashpath.emulator.units import SECOND
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 SLOW_START_SHARE = 1 / 4  # share of the time of arrivals
 
@@ -60,7 +60,7 @@
 
 
 def start_destination(
-    number: int, plan: DestinationPlan, random: Random, limits: ServerLimits, clock: RunClock
+    number: int, plan: DestinationPlan, random: Random, limits: HttpLimits, clock: RunClock
 ) -> DemoDestination:
     """Draws the seed of the destination, and starts a server for each of its endpoints."""
     endpoints = [f"{plan.name}-{at}" for at in range(plan.endpoints)]
--- a/ashpath/emulator/demo/run.py
+++ b/ashpath/emulator/demo/run.py
@@ -19,13 +19,11 @@
 from ashpath.emulator.final_outcomes import FinalOutcome
 from ashpath.emulator.run_clock import RunClock
 from ashpath.emulator.sender_process import SenderProcess
-from ashpath.emulator.stand_ins import LOOPBACK, free_port, stand_in_limits
+from ashpath.emulator.stand_ins import LOOPBACK, STAND_IN_LIMITS, free_port
 from ashpath.emulator.units import SECOND
 
 RATE = 40.0  # messages a second
 FINAL_WAIT_S = 14.0  # after the last message, for final outcomes; longer than the longest deadline
-DESCRIPTORS = 4096
-REQUEST_TIMEOUT_S = 60.0
 START_TIMEOUT_S = 15.0
 OUTAGE_BEGINS = 3 / 10  # share of the time of arrivals
 OUTAGE_ENDS = 11 / 20  # share of the time of arrivals
@@ -66,19 +64,18 @@
         self.restarts = 0
         self._kill = kill
         self._clock = RunClock()
-        limits = stand_in_limits(DESCRIPTORS, REQUEST_TIMEOUT_S)
         random = Random(seed)
         self.destinations: list[DemoDestination] = [
-            start_destination(number, plan, random, limits, self._clock)
+            start_destination(number, plan, random, STAND_IN_LIMITS, self._clock)
             for number, plan in enumerate(plan_destinations(seconds), 1)
         ]
         address = (LOOPBACK, free_port())
-        self.clients = DemoClients(address, self.destinations, limits, random, rate)
+        self.clients = DemoClients(address, self.destinations, STAND_IN_LIMITS, random, rate)
         self.file = folder / "sender.toml"
         listen = f"{address[0]}:{address[1]}"
         text = sender_file(listen, self.clients.notice_address, seed, seconds, self.destinations)
         self.file.write_text(text)
-        self._sender = SenderProcess(self.file, folder / "log", address, limits)
+        self._sender = SenderProcess(self.file, folder / "log", address, STAND_IN_LIMITS)
 
     def run(self, display: TableDisplay, interval_s: float = TABLE_INTERVAL_S) -> Summary:
         """Runs the demonstration, and returns its summary. Raises SenderStartError."""
--- a/ashpath/emulator/destination/server.py
+++ b/ashpath/emulator/destination/server.py
@@ -24,7 +24,7 @@
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.http.messages import HttpRequest
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 STATUS_LINES = {
     CallResult.OK: b"HTTP/1.1 200 OK",
@@ -70,7 +70,7 @@
         self,
         model: DestinationModel,
         endpoint: str,
-        limits: ServerLimits,
+        limits: HttpLimits,
         clock: RunClock,
         observer: CallObserver | None = None,
         latency: Callable[[], float] = no_latency,
--- a/ashpath/emulator/fault_injection/discovery_agent.py
+++ b/ashpath/emulator/fault_injection/discovery_agent.py
@@ -35,7 +35,7 @@
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.http.messages import HttpRequest
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
 SILENCE_S = 60.0
@@ -69,7 +69,7 @@
     """Listens from construction until `stop`."""
 
     def __init__(
-        self, members: list[JsonObject], limits: ServerLimits, revision: int = 1, retry_after_s: float = 0.0
+        self, members: list[JsonObject], limits: HttpLimits, revision: int = 1, retry_after_s: float = 0.0
     ) -> None:
         self.members = members
         self.revision = revision
--- a/ashpath/emulator/http_client.py
+++ b/ashpath/emulator/http_client.py
@@ -14,7 +14,7 @@
 from ashpath.server.http.encoding import encode_message, host_header
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 Headers = Sequence[tuple[bytes, bytes]]
 
@@ -23,7 +23,7 @@
     """An HTTP client that keeps at most `max_idle` idle connections, or any number if `max_idle` is None."""
 
     def __init__(
-        self, address: tuple[str, int], limits: ServerLimits, timeout_s: float, max_idle: int | None = None
+        self, address: tuple[str, int], limits: HttpLimits, timeout_s: float, max_idle: int | None = None
     ) -> None:
         self.address = address
         self._limits = limits
--- a/ashpath/emulator/loopback/client_process.py
+++ b/ashpath/emulator/loopback/client_process.py
@@ -28,13 +28,11 @@
 )
 from ashpath.emulator.notice_receiver import Notice, NoticeReceiver
 from ashpath.emulator.run_clock import RunClock
-from ashpath.emulator.stand_ins import stand_in_limits
+from ashpath.emulator.stand_ins import STAND_IN_LIMITS
 from ashpath.emulator.units import SECOND
 from ashpath.server import wire_names
 from ashpath.server.http.messages import HttpResponse
 
-DESCRIPTORS = 8192
-REQUEST_TIMEOUT_S = 600.0
 RESPONSE_TIMEOUT_S = 2.0
 RETRY_INTERVAL_S = 0.1  # before a client whose sender does not respond tries another sender
 MIN_TIME_LEFT = 1000  # microseconds; with no more left until its deadline, a request is not submitted
@@ -79,13 +77,12 @@
     """Submits the requests of a job. `_open`: submissions that may still be rejected or fail, by id."""
 
     def __init__(self, job: ClientsJob) -> None:
-        limits = stand_in_limits(DESCRIPTORS, REQUEST_TIMEOUT_S)
         self._job = job
         self._clock = RunClock(job.began)
         self._random = Random(f"{job.seed} clients' choices")
-        self._senders = [HttpClient(address, limits, RESPONSE_TIMEOUT_S) for address in job.senders]
+        self._senders = [HttpClient(address, STAND_IN_LIMITS, RESPONSE_TIMEOUT_S) for address in job.senders]
         self._open: dict[str, Submission] = {}
-        self._receiver = NoticeReceiver(self, limits, job.notice_port)
+        self._receiver = NoticeReceiver(self, STAND_IN_LIMITS, job.notice_port)
 
     def run(self) -> None:
         """Submits all requests at their times, and receives notices until the process is ended."""
--- a/ashpath/emulator/loopback/discovery_server.py
+++ b/ashpath/emulator/loopback/discovery_server.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 WATCH_TIMEOUT_S = 2.0
 OK = b"HTTP/1.1 200 OK"
@@ -38,7 +38,7 @@
         addresses: Mapping[str, str],
         records: list[EndpointRecord],
         observer: EndpointsObserver,
-        limits: ServerLimits,
+        limits: HttpLimits,
     ) -> None:
         self._kinds = kinds
         self._addresses = addresses
--- a/ashpath/emulator/loopback/run.py
+++ b/ashpath/emulator/loopback/run.py
@@ -28,12 +28,10 @@
 from ashpath.emulator.scenario.schema import Scenario
 from ashpath.emulator.scenario.settings import draw_discovery_delay, sender_settings
 from ashpath.emulator.scoreboard import DeliveryValue, Scoreboard
-from ashpath.emulator.stand_ins import free_port, stand_in_limits
+from ashpath.emulator.stand_ins import STAND_IN_LIMITS, free_port
 from ashpath.emulator.topology import Topology
 from ashpath.emulator.units import SECOND
 
-DESCRIPTORS = 8192
-REQUEST_TIMEOUT_S = 600.0
 MAX_TIME_AFTER_DEADLINE = 5 * SECOND  # the time limit of a run after the last deadline
 WATCH_START_S = 0.3  # for the senders to open their watches
 FINAL_REPORTS_S = 0.3  # for the last observations to arrive
@@ -62,7 +60,6 @@
         self._clock = RunClock()
         self._log = ObservationLog()
         self._topology = Topology(scenario, scenario_folder, seed)
-        self._limits = stand_in_limits(DESCRIPTORS, REQUEST_TIMEOUT_S)
         self._random = Random(f"{seed} world")
         self._servers = {
             record.endpoint_id: self._destination_server(record) for record in self._topology.endpoints
@@ -72,7 +69,7 @@
         self._agent_delays = [draw_discovery_delay(scenario.discovery, self._random) for _ in self._agents]
         self._notice_port = free_port()
         agent_addresses = [agent.address for agent in self._agents]
-        self._senders = LoopbackSenders(scenario, folder, agent_addresses, self._notice_port, self._limits)
+        self._senders = LoopbackSenders(scenario, folder, agent_addresses, self._notice_port, STAND_IN_LIMITS)
         self._clients: ClientsRunner | None = None
 
     def _destination_server(self, record: EndpointRecord) -> DestinationServer:
@@ -85,13 +82,13 @@
 
         destination = self._topology.destinations[record.destination]
         return DestinationServer(
-            destination, record.endpoint_id, self._limits, self._clock, self._log, one_way_delay
+            destination, record.endpoint_id, STAND_IN_LIMITS, self._clock, self._log, one_way_delay
         )
 
     def _agent(self, sender: int) -> DiscoveryServer:
         observer = ReportedEndpoints(sender, self._clock, self._log)
         kinds = list(self._scenario.destinations)
-        return DiscoveryServer(kinds, self._addresses, self._topology.endpoints, observer, self._limits)
+        return DiscoveryServer(kinds, self._addresses, self._topology.endpoints, observer, STAND_IN_LIMITS)
 
     def run(self, progress: Callable[[float], None] | None = None) -> None:
         """Executes the run, and replays its observations. Raises FleetStartError."""
--- a/ashpath/emulator/loopback/senders.py
+++ b/ashpath/emulator/loopback/senders.py
@@ -14,7 +14,7 @@
 from ashpath.emulator.scenario.settings import sender_configuration
 from ashpath.emulator.sender_process import READINESS_POLL_S, SenderProcess
 from ashpath.emulator.stand_ins import LOOPBACK, free_port
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 START_TIMEOUT_S = 20.0
 
@@ -28,7 +28,7 @@
         folder: Path,
         agents: list[str],
         notice_port: int,
-        limits: ServerLimits,
+        limits: HttpLimits,
     ) -> None:
         self.addresses = [(LOOPBACK, free_port()) for _ in agents]
         self._folder = folder
--- a/ashpath/emulator/notice_receiver.py
+++ b/ashpath/emulator/notice_receiver.py
@@ -15,7 +15,7 @@
 from ashpath.server import wire_names
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 NO_CONTENT = b"HTTP/1.1 204 No Content\r\n\r\n"
 
@@ -41,7 +41,7 @@
 class NoticeReceiver:
     """Listens for notices from its construction until `stop`. Port 0 selects a free port."""
 
-    def __init__(self, handler: NoticeHandler, limits: ServerLimits, port: int = 0) -> None:
+    def __init__(self, handler: NoticeHandler, limits: HttpLimits, port: int = 0) -> None:
         self._handler = handler
         self._limits = limits
         self._server = StreamServer((LOOPBACK, port), self._serve)
--- a/ashpath/emulator/sender_process.py
+++ b/ashpath/emulator/sender_process.py
@@ -12,7 +12,7 @@
 from ashpath.emulator.errors import RequestError, SenderStartError
 from ashpath.emulator.http_client import HttpClient
 from ashpath.server import wire_names
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 READINESS_TIMEOUT_S = 1.0
 READINESS_POLL_S = 0.05
@@ -22,9 +22,7 @@
 class SenderProcess:
     """A process that appends its output to a log file, and that can be started again after a kill."""
 
-    def __init__(
-        self, configuration: Path, log: Path, address: tuple[str, int], limits: ServerLimits
-    ) -> None:
+    def __init__(self, configuration: Path, log: Path, address: tuple[str, int], limits: HttpLimits) -> None:
         self.configuration = configuration
         self.log = log
         self._client = HttpClient(address, limits, READINESS_TIMEOUT_S, max_idle=0)
--- a/ashpath/emulator/soak/clients.py
+++ b/ashpath/emulator/soak/clients.py
@@ -12,7 +12,7 @@
 from ashpath.server.http.connection import HttpConnection, open_connection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 RESPONSE_TIMEOUT_S = 0.4
 MAX_IDLE_CONNECTIONS = 6
@@ -34,7 +34,7 @@
         destinations: int,
         records: SoakRecords,
         random: Random,
-        limits: ServerLimits,
+        limits: HttpLimits,
     ) -> None:
         self.sender = sender
         self.address = address
--- a/ashpath/emulator/soak/day.py
+++ b/ashpath/emulator/soak/day.py
@@ -29,7 +29,7 @@
 )
 from ashpath.emulator.soak.records import Departure, Effect, NetworkFault, Outage, SoakRecords
 from ashpath.emulator.soak.sender import SoakSender
-from ashpath.emulator.stand_ins import free_port, stand_in_limits
+from ashpath.emulator.stand_ins import STAND_IN_LIMITS, free_port
 
 NETWORK_CALLS = (FaultyCall.SOCKET, FaultyCall.CONNECT, FaultyCall.RECEIVE)
 AGENTS_PER_SENDER = 2  # SIGHUP switches the sender between its agents
@@ -103,7 +103,7 @@
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan = plan
         self.records = SoakRecords()
-        limits = stand_in_limits(descriptors=4096, timeout_s=60.0)
+        limits = STAND_IN_LIMITS
         random = Random(f"day {plan.seed}")
         self.endpoints = [
             SoakEndpoint(f"e{number}", number % DESTINATIONS, SENDERS, self.records, random, limits)
--- a/ashpath/emulator/soak/endpoints.py
+++ b/ashpath/emulator/soak/endpoints.py
@@ -18,7 +18,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 RETRY_AFTER_S = 0.6
 HANG_S = 30.0
@@ -43,7 +43,7 @@
         senders: int,
         records: SoakRecords,
         random: Random,
-        limits: ServerLimits,
+        limits: HttpLimits,
     ) -> None:
         self.endpoint_id = endpoint_id
         self.destination = destination
--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -21,7 +21,7 @@
 from ashpath.emulator.soak.records import Incarnation, SoakRecords
 from ashpath.emulator.stand_ins import LOOPBACK
 from ashpath.server import wire_names
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 LAUNCHER = "ashpath.emulator.fault_injection.launcher"
 READY_POLL_S = 0.02
@@ -42,7 +42,7 @@
         agents: list[DiscoveryAgent],
         faults: ProcessFaults,
         records: SoakRecords,
-        limits: ServerLimits,
+        limits: HttpLimits,
     ) -> None:
         self.number = number
         self.address = (LOOPBACK, port)
--- a/ashpath/emulator/stand_ins.py
+++ b/ashpath/emulator/stand_ins.py
@@ -7,20 +7,13 @@
 
 from gevent import socket
 
-from ashpath.core.policy_settings import policy_settings
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 LOOPBACK = "127.0.0.1"
 PORT_RANGE = (10_000, 32_000)
 RANDOM = Random()  # unseeded, as concurrent runs share the range
-IDLE_TIMEOUT_MS = 60_000.0
-
-
-def stand_in_limits(descriptors: int, timeout_s: float) -> ServerLimits:
-    """Returns limits for stand-ins, which wait `timeout_s` for a request, idle or partly received."""
-    settings = policy_settings(0, {"classes": [], "limits": {"conn-idle": IDLE_TIMEOUT_MS}})
-    own = {"client_idle_s": timeout_s, "request_s": timeout_s}
-    return ServerLimits.from_configuration({"sockets": descriptors, "own": own}, settings)
+STAND_IN_LIMITS = HttpLimits(connect_s=1.0)
+"""The limits of the connections of stand-ins, which have no timeout for a request."""
 
 
 def free_port() -> int:
--- a/ashpath/server/agent_client.py
+++ b/ashpath/server/agent_client.py
@@ -15,7 +15,7 @@
 from ashpath.server.http.encoding import encode_message, host_header
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError, UnreadableResponseError
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 Headers = Sequence[tuple[bytes, bytes]]
 
@@ -23,7 +23,7 @@
 class AgentConnection:
     """A persistent connection for one call at a time."""
 
-    def __init__(self, address: Address, limits: ServerLimits) -> None:
+    def __init__(self, address: Address, limits: HttpLimits) -> None:
         self.address = address
         self.limits = limits
         self.connection: HttpConnection | None = None
--- a/ashpath/server/delivery/connection_pool.py
+++ b/ashpath/server/delivery/connection_pool.py
@@ -93,7 +93,7 @@
         """Returns a new connection, in use. Raises OSError if the connection fails."""
         self.open += 1
         try:
-            return open_connection(address, self.limits)
+            return open_connection(address, self.limits.http)
         except BaseException:
             self.open -= 1
             raise
--- a/ashpath/server/delivery/http_notifier.py
+++ b/ashpath/server/delivery/http_notifier.py
@@ -53,7 +53,7 @@
     ) -> None:
         super().__init__(write_ahead_log)
         self.receiver = receiver
-        self.connection = AgentConnection(receiver.address, limits)
+        self.connection = AgentConnection(receiver.address, limits.http)
         self.limits = limits
         self.logger = logger
         self.backoff = backoff
--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -83,7 +83,7 @@
         *,
         pushed: bool = False,
     ) -> None:
-        self.connection = AgentConnection(address, limits)
+        self.connection = AgentConnection(address, limits.http)
         self.limits = limits
         self.revision: int | None = revision  # revision of the next poll; None: poll for a snapshot
         self.listener = listener
@@ -214,7 +214,7 @@
             self.late_polls.append(poll)
         else:
             poll.connection.abort()
-        self.connection = AgentConnection(self.connection.address, self.limits)
+        self.connection = AgentConnection(self.connection.address, self.limits.http)
         return None
 
     def run_poll(self, poll: Poll, request_line: bytes) -> None:
--- a/ashpath/server/http/connection.py
+++ b/ashpath/server/http/connection.py
@@ -58,7 +58,7 @@
 from ashpath.server.http.messages import OK, HttpMessage, HttpRequest, HttpResponse, Parser
 from ashpath.server.http.receive_buffer import ReceiveBuffer
 from ashpath.server.http.transport import BufferedSocket
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 END_OF_HEAD = b"\r\n\r\n"
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([1-5][0-9][0-9])( [^\r\n]*)?\r?\n")
@@ -73,12 +73,12 @@
     framing: BodyFraming
 
 
-def open_connection(address: tuple[str, int], limits: ServerLimits) -> HttpConnection:
+def open_connection(address: tuple[str, int], limits: HttpLimits) -> HttpConnection:
     """Returns a new connection. Raises OSError on a failure or time-out, and leaves no socket open."""
     return dial(socket.socket(socket.AF_INET, socket.SOCK_STREAM), address, limits)
 
 
-def dial(sock: socket.socket, address: tuple[str, int], limits: ServerLimits) -> HttpConnection:
+def dial(sock: socket.socket, address: tuple[str, int], limits: HttpLimits) -> HttpConnection:
     """Connects the caller's socket like `open_connection`; the caller may close it to abort the connect."""
     try:
         sock.settimeout(limits.connect_s)
@@ -95,7 +95,7 @@
 
     pending_body: PendingBody
 
-    def __init__(self, sock: socket.socket, limits: ServerLimits) -> None:
+    def __init__(self, sock: socket.socket, limits: HttpLimits) -> None:
         super().__init__(sock, ReceiveBuffer(limits.buffer_bytes, limits.body_bytes))
         self.limits = limits
         self.status_line_read = False  # of the response that is being read
--- a/ashpath/server/http/listener.py
+++ b/ashpath/server/http/listener.py
@@ -69,7 +69,7 @@
         self.accepting = True
         while self.accepting:
             try:
-                connection = HttpConnection(self.socket.accept()[0], self.limits)
+                connection = HttpConnection(self.socket.accept()[0], self.limits.http)
             except OSError as error:  # no descriptor free, or the client has left
                 if is_closed(error) and self.accepting:
                     self.listen_again(error)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -36,6 +36,7 @@
 from gevent import socket, subprocess
 
 from ashpath.core.policy_settings import sender_settings
+from ashpath.server.limits.http import HttpLimits
 from ashpath.server.limits.server_limits import ServerLimits
 from benchmarks.figure_storage import ROOT, store_figures
 from benchmarks.start import extract
@@ -149,7 +150,7 @@
 
 
 def start_clients(
-    count: int, senders: Senders, limits: ServerLimits, random: Random, observations: Observations
+    count: int, senders: Senders, limits: HttpLimits, random: Random, observations: Observations
 ) -> list[gevent.Greenlet[Any, Any]]:
     """Starts the clients. Each fourth client sends its requests in two pieces."""
     return [
@@ -164,7 +165,7 @@
     clients = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_CLIENTS
     base = sys.argv[3] if len(sys.argv) > 3 else None
     random = Random(7)
-    limits = ServerLimits.from_configuration(LIMITS, sender_settings(1, SETTINGS))
+    limits = ServerLimits.from_configuration(LIMITS, sender_settings(1, SETTINGS)).http
     observations = Observations()
     with tempfile.TemporaryDirectory() as folder_name:
         destinations = [
--- a/benchmarks/upgrade_surroundings.py
+++ b/benchmarks/upgrade_surroundings.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 NUMBER_OF_DESTINATIONS = 6
 CLIENT_PAUSE_S = 0.02  # mean pause between two requests of a client
@@ -96,7 +96,7 @@
 class DestinationServer:
     """A destination with one endpoint, which sends Retry-After for a random share of calls."""
 
-    def __init__(self, number: int, limits: ServerLimits, random: Random, observations: Observations) -> None:
+    def __init__(self, number: int, limits: HttpLimits, random: Random, observations: Observations) -> None:
         self.number = number
         self._limits = limits
         self._random = random
@@ -145,9 +145,7 @@
 class Agent:
     """The platform's agent: serves the endpoint list, and accepts notifications."""
 
-    def __init__(
-        self, endpoint_list: dict[str, Any], limits: ServerLimits, observations: Observations
-    ) -> None:
+    def __init__(self, endpoint_list: dict[str, Any], limits: HttpLimits, observations: Observations) -> None:
         self._endpoint_list = endpoint_list
         self._limits = limits
         self._observations = observations
@@ -178,7 +176,7 @@
     def __init__(
         self,
         address: tuple[str, int],
-        limits: ServerLimits,
+        limits: HttpLimits,
         random: Random,
         observations: Observations,
         *,
--- a/tests/server/delivery/test_attempt_runner.py
+++ b/tests/server/delivery/test_attempt_runner.py
@@ -68,7 +68,7 @@
     A reused connection with unread bytes would deliver them as the response to the next request."""
 
     def serve(sock: socket.socket, _: object) -> None:
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         connection.read_request()
         connection.write(data)
         connection.receive()  # keeps the connection open until the runner closes it
@@ -155,7 +155,7 @@
         return connections[-1]
 
     def serve(sock: socket.socket, _: object) -> None:
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         connection.read_request()
         if b"99" in data:  # the runner reads this head first
             connection.write(data[: -2 * len(OK)])
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -72,7 +72,7 @@
     address = endpoint_address(world)
 
     def reset_after_request(sock: socket.socket, _: object) -> None:
-        HttpConnection(sock, LIMITS).read_request()
+        HttpConnection(sock, LIMITS.http).read_request()
         reset_connection(sock)
 
     old, young = (pool.connect(address) for _ in range(2))
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -27,7 +27,7 @@
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import stored_time
@@ -72,7 +72,7 @@
         self.address = address_of(world.servers[server])
 
     def serve(self, sock: socket.socket, _: object) -> None:
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         try:
             while request := connection.read_request():
                 self.queries.append(request.url.partition(b"?")[2].partition(b"&")[0])
@@ -184,7 +184,7 @@
     listener = RecordingListener()
     client = DiscoveryClient(old.address, LIMITS, 5, listener, Random(1), LOG)
 
-    def move_and_dial(sock: socket.socket, address: Address, limits: ServerLimits) -> HttpConnection:
+    def move_and_dial(sock: socket.socket, address: Address, limits: HttpLimits) -> HttpConnection:
         connection = dial(sock, address, limits)
         if address == old.address:
             client.change_address(new.address)
--- a/tests/server/metrics/test_metrics.py
+++ b/tests/server/metrics/test_metrics.py
@@ -30,7 +30,7 @@
 
 def scrape(address: Address) -> dict[tuple[str, ...], float]:
     """Returns each sample by its name and its label values, in the order of the label names."""
-    connection = open_connection(address, LIMITS)
+    connection = open_connection(address, LIMITS.http)
     headers = [host_header(address), (b"Connection", b"close")]
     connection.write(encode_message(b"GET /metrics HTTP/1.1", headers, b""))
     response = connection.read_response()
--- a/tests/server/test_agent_client.py
+++ b/tests/server/test_agent_client.py
@@ -20,7 +20,7 @@
 
 
 def test_timed_out_agent_call_is_followed_by_a_new_connection(world: World, address: Address) -> None:
-    agent = AgentConnection(address, LIMITS)
+    agent = AgentConnection(address, LIMITS.http)
     world.servers[1].set_handle(lambda *_: gevent.sleep(9))
     assert agent.call(POLL, b"", 0.05) is None
     assert agent.connection is None
@@ -33,7 +33,7 @@
 
 
 def test_connection_is_kept_after_chunked_response(world: World, address: Address) -> None:
-    agent = AgentConnection(address, LIMITS)
+    agent = AgentConnection(address, LIMITS.http)
     world.servers[1].set_handle(lambda sock, _: sock.sendall(CHUNKED))
     response = agent.call(POLL, b"", 9)
     assert response is not None
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -77,7 +77,7 @@
     release = Event()
 
     def hang(sock: socket.socket, _: object) -> None:
-        received_requests.append(HttpConnection(sock, LIMITS).read_request())
+        received_requests.append(HttpConnection(sock, LIMITS.http).read_request())
         release.wait()
         reset_connection(sock)
 
--- a/tests/support/drain_setup.py
+++ b/tests/support/drain_setup.py
@@ -47,7 +47,7 @@
         }
 
     def _serve(self, sock: socket.socket, _: object) -> None:
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         try:
             while connection.read_request():
                 self.calls.append(monotonic())
@@ -69,7 +69,7 @@
         folder.mkdir()
         self.staying_endpoint = CountingEndpoint("stays", STAYING_DESTINATION)
         self.draining_endpoint = CountingEndpoint("leaves", DRAINING_DESTINATION)
-        self.agents = [DiscoveryAgent(self.members("up"), LIMITS) for _ in range(agents)]
+        self.agents = [DiscoveryAgent(self.members("up"), LIMITS.http) for _ in range(agents)]
         self.world = World(folder)
         # The sender is one of many, so its first polls are spread, and connection attempts take long to fail.
         limits = {**SETTINGS["limits"], "connect-timeout": 5000.0}
--- a/tests/support/server.py
+++ b/tests/support/server.py
@@ -68,7 +68,7 @@
 
 def serve(listener: ClientListener, server_end: socket.socket) -> gevent.Greenlet[[HttpConnection], None]:
     """Serves one connection in a new greenlet."""
-    return gevent.spawn(listener.serve, HttpConnection(server_end, LIMITS))
+    return gevent.spawn(listener.serve, HttpConnection(server_end, LIMITS.http))
 
 
 READINESS_REQUEST = encode_message(b"GET /health/ready HTTP/1.1", [], b"")
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -88,7 +88,7 @@
     def __init__(self, sock: socket.socket) -> None:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(socket.socket, "setsockopt", lambda *_: None)
-            super().__init__(sock, LIMITS)
+            super().__init__(sock, LIMITS.http)
 
 
 def read_request(data: bytes) -> HttpRequest:
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -232,7 +232,7 @@
     def connect(self) -> HttpConnection | None:
         """Returns a client's connection; None if the sender refuses it."""
         try:
-            return HttpConnection(socket.create_connection(self.address), LIMITS)
+            return HttpConnection(socket.create_connection(self.address), LIMITS.http)
         except OSError:
             return None
 
@@ -265,7 +265,7 @@
 
     def serve_endpoint(self, sock: socket.socket, _: object) -> None:
         """Serves a connection of the sender to an endpoint."""
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         try:
             while self.respond(connection, connection.read_request()):
                 pass
@@ -295,7 +295,7 @@
 
     def serve_platform(self, sock: socket.socket, _: object) -> None:
         """Serves a connection of the sender to an agent: notifications and polls of the endpoint list."""
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         try:
             while call := connection.read_request():
                 if call.method == b"POST":
