--- a/ashpath/server/control/connection.py
+++ b/ashpath/server/control/connection.py
@@ -15,7 +15,7 @@
 from ashpath.server.control.connection_table import ControlConnectionTable
 from ashpath.server.control.errors import InvalidCommandError
 from ashpath.server.control.protocol import encode_result, parse_command
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.control import ControlLimits
 from ashpath.server.logs import Logger
 
 READ_BYTES = 512  # per read: more than a line may have
@@ -28,13 +28,15 @@
         self,
         sock: socket.socket,
         table: ControlConnectionTable,
-        limits: ServerLimits,
+        limits: ControlLimits,
+        write_timeout_s: float,
         handler: CommandHandler,
         logger: Logger,
     ) -> None:
         self.socket = sock
         self.table = table
         self.limits = limits
+        self.write_timeout_s = write_timeout_s
         self.handler = handler
         self.logger = logger
 
@@ -87,6 +89,6 @@
         return result
 
     def send(self, result: CommandResult) -> None:
-        """Writes the answer, unless the operator has left or does not read it within `response_write_s`."""
-        with suppress(OSError, Timeout), Timeout(self.limits.response_write_s):
+        """Writes the answer, unless the operator has left or does not read it in time."""
+        with suppress(OSError, Timeout), Timeout(self.write_timeout_s):
             self.socket.sendall(encode_result(result))
--- a/ashpath/server/control/listener.py
+++ b/ashpath/server/control/listener.py
@@ -18,7 +18,7 @@
 from ashpath.server.control.commands import CommandHandler
 from ashpath.server.control.connection import ControlConnection
 from ashpath.server.control.connection_table import ControlConnectionTable
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.control import ControlLimits
 from ashpath.server.local_errors import is_closed
 from ashpath.server.logs import Logger
 
@@ -34,12 +34,14 @@
     def __init__(
         self,
         address: Address,
-        limits: ServerLimits,
+        limits: ControlLimits,
+        write_timeout_s: float,
         handler: CommandHandler,
         logger: Logger,
     ) -> None:
         self.address = address
         self.limits = limits
+        self.write_timeout_s = write_timeout_s  # of an answer
         self.handler = handler
         self.logger = logger
         self.table = ControlConnectionTable(limits.control_connections)
@@ -65,7 +67,9 @@
                 if not self.table.evict_silent():
                     gevent.sleep(0)  # all have unread input, and are served now
             self.table.add(accepted)
-            connection = ControlConnection(accepted, self.table, self.limits, self.handler, self.logger)
+            connection = ControlConnection(
+                accepted, self.table, self.limits, self.write_timeout_s, self.handler, self.logger
+            )
             gevent.spawn(connection.serve)
             gevent.sleep(0)
 
--- a/ashpath/server/http/client_connection.py
+++ b/ashpath/server/http/client_connection.py
@@ -24,7 +24,7 @@
 )
 from ashpath.server.http.messages import HttpRequest
 from ashpath.server.http.request_handler import RequestHandler
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.client_connections import ClientConnectionLimits
 from ashpath.server.logs import Logger
 
 # Bound once: the access to an enumeration's member costs as much as the state transition that uses it.
@@ -41,7 +41,7 @@
     table: ConnectionTable
     handler: RequestHandler
     availability: Availability
-    limits: ServerLimits
+    limits: ClientConnectionLimits
     logger: Logger
 
 
@@ -150,7 +150,7 @@
     def write(self, data: bytes) -> bool:
         """Writes bytes; returns False if the client has left or does not read them in time."""
         try:
-            with Timeout(self.services.limits.response_write_s):
+            with Timeout(self.connection.limits.response_write_s):
                 self.connection.write(data)
         except (OSError, Timeout):
             self.connection.unusable = True
@@ -167,5 +167,5 @@
             return
         self.draining = True
         self.services.table.half_close(self.connection)
-        with suppress(OSError, Timeout), Timeout(self.services.limits.response_write_s):
+        with suppress(OSError, Timeout), Timeout(self.connection.limits.response_write_s):
             self.connection.drain(self.services.limits.drain_bytes)
--- a/ashpath/server/http/connection_table.py
+++ b/ashpath/server/http/connection_table.py
@@ -37,7 +37,7 @@
 import gevent
 
 from ashpath.server.http.connection import HttpConnection
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.client_connections import ClientConnectionLimits
 
 
 class ConnectionState(Enum):
@@ -59,7 +59,7 @@
 class ConnectionTable:
     """Client connections by state, longest in their state first."""
 
-    def __init__(self, limits: ServerLimits) -> None:
+    def __init__(self, limits: ClientConnectionLimits) -> None:
         self.limits = limits
         # By state, with the time at which each connection entered it, in seconds of the monotonic clock.
         self.entries_by_state: dict[ConnectionState, Entries] = {
--- a/ashpath/server/http/listener.py
+++ b/ashpath/server/http/listener.py
@@ -15,7 +15,8 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.connection_table import ConnectionState, ConnectionTable
 from ashpath.server.http.request_handler import RequestHandler, RequestResponder
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.client_connections import ClientConnectionLimits
+from ashpath.server.limits.http import HttpLimits
 from ashpath.server.local_errors import is_closed
 from ashpath.server.logs import Logger
 
@@ -33,13 +34,15 @@
     def __init__(
         self,
         address: Address,
-        limits: ServerLimits,
+        limits: ClientConnectionLimits,
+        http_limits: HttpLimits,
         admission: Admission,
         logger: Logger,
         status_api: RequestResponder | None = None,
     ) -> None:
         self.address = address
         self.limits = limits
+        self.http_limits = http_limits
         self.availability = Availability()
         self.handler = RequestHandler(admission, self.availability, status_api)
         self.table = ConnectionTable(limits)
@@ -69,7 +72,7 @@
         self.accepting = True
         while self.accepting:
             try:
-                connection = HttpConnection(self.socket.accept()[0], self.limits.http)
+                connection = HttpConnection(self.socket.accept()[0], self.http_limits)
             except OSError as error:  # no descriptor free, or the client has left
                 if is_closed(error) and self.accepting:
                     self.listen_again(error)
--- a/ashpath/server/shutdown.py
+++ b/ashpath/server/shutdown.py
@@ -32,7 +32,7 @@
 from ashpath.server.delivery.notifier import Notifier
 from ashpath.server.http.admission import Admission
 from ashpath.server.http.listener import ClientListener
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.shutdown import ShutdownLimits
 from ashpath.server.logs import Logger
 from ashpath.server.policy_runner import PolicyRunner
 
@@ -59,7 +59,7 @@
         admission: Admission,
         policy_runner: PolicyRunner,
         notifier: Notifier,
-        limits: ServerLimits,
+        limits: ShutdownLimits,
         logger: Logger,
     ) -> None:
         self.listener = listener
@@ -96,7 +96,7 @@
         this one."""
         self.state = ShutdownState.HANDING_OVER
         self.listener.stop()
-        gevent.spawn(self.listener.drain_clients, self.limits.drain_clients_s)
+        gevent.spawn(self.listener.drain_clients, self.listener.limits.drain_clients_s)
 
     def stop_accepting(self) -> None:
         """Stops accepting messages. Connections are accepted until the end, and their requests get a
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -27,6 +27,7 @@
 from ashpath.server.http.admission import Admission
 from ashpath.server.http.listener import ClientListener
 from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.shutdown import ShutdownLimits
 from ashpath.server.logs import Logger
 from ashpath.server.operator_commands import OperatorCommands
 from ashpath.server.optional_services import GossipService, MetricsService, SenderMetricsSource
@@ -79,7 +80,7 @@
         settings_switch=create_settings_switch(
             running, deployment, delivery, clients, gossip, metrics, logger
         ),
-        shutdown=create_shutdown(configuration.limits, delivery, clients, logger),
+        shutdown=create_shutdown(configuration.limits.shutdown, delivery, clients, logger),
     )
 
 
@@ -168,7 +169,12 @@
         delivery.policy_runner, delivery.outcome_store, configuration.settings.traffic_class_names()
     )
     listener = ClientListener(
-        parse_address(process_options.listen), configuration.limits, admission, logger, status_api
+        parse_address(process_options.listen),
+        configuration.limits.clients,
+        configuration.limits.http,
+        admission,
+        logger,
+        status_api,
     )
     return ClientSide(admission, listener, status_api)
 
@@ -189,7 +195,10 @@
     commands = OperatorCommands(
         delivery.policy_runner, delivery.registry, listener, delivery.detached_endpoints
     )
-    return ControlListener(parse_address(address), configuration.limits, commands, logger)
+    limits = configuration.limits
+    return ControlListener(
+        parse_address(address), limits.control, limits.http.response_write_s, commands, logger
+    )
 
 
 def create_discovery_client(
@@ -274,7 +283,7 @@
 
 
 def create_shutdown(
-    limits: ServerLimits, delivery: DeliveryPath, clients: ClientSide, logger: Logger
+    limits: ShutdownLimits, delivery: DeliveryPath, clients: ClientSide, logger: Logger
 ) -> GracefulShutdown:
     """Creates the graceful shutdown, with the parts that may have work to finish."""
     return GracefulShutdown(
--- a/tests/server/http/test_listener.py
+++ b/tests/server/http/test_listener.py
@@ -53,7 +53,7 @@
 def test_requests_get_their_status_beside_stalled_clients(world: World) -> None:
     world.start()
     stalled = [
-        world.connect() for _ in range(LIMITS.client_connections + 20)
+        world.connect() for _ in range(LIMITS.clients.client_connections + 20)
     ]  # more than the process has descriptors for
     for connection in stalled:
         assert connection is not None
@@ -88,7 +88,7 @@
     platform.stop(timeout=0)
     for sock in held:
         reset_connection(sock)
-    clients = [world.connect() for _ in range(LIMITS.client_connections + 40)]
+    clients = [world.connect() for _ in range(LIMITS.clients.client_connections + 40)]
     for connection in clients[::2]:
         assert connection is not None
         connection.sock.sendall(b"GET /health/ready HTTP/1.1\r\n\r\n")
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -79,7 +79,8 @@
     )
     class_ids = {name: number for number, name in enumerate(TRAFFIC_CLASSES)}
     admission = Admission(POLICY_SETTINGS, class_ids, registry, receiver, log, logger)
-    return ListenerStages(ClientListener(("127.0.0.1", 1), server_limits, admission, logger), receiver, log)
+    listener = ClientListener(("127.0.0.1", 1), server_limits.clients, server_limits.http, admission, logger)
+    return ListenerStages(listener, receiver, log)
 
 
 class SocketPairConnection(HttpConnection):
