--- a/ashpath/cli/standalone_deployment.py
+++ b/ashpath/cli/standalone_deployment.py
@@ -27,7 +27,9 @@
 from ashpath.server.delivery.rotating_file import RotatingFile
 from ashpath.server.errors import UNUSABLE_CONFIGURATION_ERRORS, ConfigurationError, error_text
 from ashpath.server.http.status_api import StatusApi
+from ashpath.server.limits.notifications import NotificationLimits
 from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.storage import StorageLimits
 from ashpath.server.logs import LogFormat, Logger
 from ashpath.server.policy_runner import PolicyRunner
 from ashpath.server.sender import Sender
@@ -94,7 +96,7 @@
         self.configuration = configuration
         self.state_directory = state_directory
 
-    def create_outcome_store(self, limits: ServerLimits, logger: Logger) -> OutcomeStore:
+    def create_outcome_store(self, limits: StorageLimits, logger: Logger) -> OutcomeStore:
         """Returns an outcome store in the state directory."""
         retention_us = round(limits.outcome_retention_s * 1e6)
         return OutcomeStore(
@@ -110,13 +112,13 @@
         """
         receiver = self.configuration.notification_receiver()
         if receiver is not None:
-            return HttpNotifier(receiver, limits, write_ahead_log, logger, backoff)
+            return HttpNotifier(receiver, limits.notifications, limits.http, write_ahead_log, logger, backoff)
         if self.configuration.file.notifications.file:
-            lines = self.open_notification_file(limits)
-            return FileNotifier(lines, limits, write_ahead_log, logger)
+            lines = self.open_notification_file(limits.notifications)
+            return FileNotifier(lines, limits.notifications, limits.services.retry_s, write_ahead_log, logger)
         return NullNotifier(write_ahead_log)
 
-    def open_notification_file(self, limits: ServerLimits) -> RotatingFile:
+    def open_notification_file(self, limits: NotificationLimits) -> RotatingFile:
         """Opens the file of notifications; a relative path starts at the configuration file's directory.
 
         Raises `StateDirectoryError` if the file cannot be opened.
--- a/ashpath/config/platform_form.py
+++ b/ashpath/config/platform_form.py
@@ -132,7 +132,8 @@
 
 
 def own_limits(configuration: Configuration) -> dict[str, float]:
-    """Returns the limits of the process that a platform's file cannot set, by the fields of ServerLimits."""
+    """Returns the limits of the process that a platform's file cannot set, by the keys of
+    `ServerLimits.with_fields`."""
     limits = configuration.limits
     own = {
         "body_bytes": int(limits.body),
--- a/ashpath/server/delivery/attempt_runner.py
+++ b/ashpath/server/delivery/attempt_runner.py
@@ -219,7 +219,7 @@
     def _finish_response(self, endpoint_id: str, address: Address | None, connection: HttpConnection) -> None:
         """Reads the rest of a response, then releases the connection."""
         try:
-            with Timeout(self.pool.limits.response_write_s):
+            with Timeout(connection.limits.response_write_s):
                 connection.finish_response()
         except (OSError, ConnectionClosedError, ProtocolError, Timeout, AttemptCancelledError):
             connection.unusable = True  # AttemptCancelledError: cancelled while the response arrived
--- a/ashpath/server/delivery/connection_pool.py
+++ b/ashpath/server/delivery/connection_pool.py
@@ -24,7 +24,8 @@
 from ashpath.server.addresses import Address
 from ashpath.server.delivery.errors import ConnectionPoolFullError
 from ashpath.server.http.connection import HttpConnection, open_connection
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.endpoint_connections import EndpointConnectionLimits
+from ashpath.server.limits.http import HttpLimits
 
 # The new idle limit of an endpoint, as a fraction of the idle time after which it dropped a connection.
 TRUSTED_IDLE_FRACTION = 0.8
@@ -50,17 +51,19 @@
 class ConnectionPool:
     """Idle connections by endpoint, longest idle first; an endpoint without idle connections has no entry."""
 
-    def __init__(self, limits: ServerLimits) -> None:
+    def __init__(self, limits: EndpointConnectionLimits, http_limits: HttpLimits) -> None:
         self.limits = limits
+        self.http_limits = http_limits
         self.idle: dict[str, deque[IdleConnection]] = {}
         self.open = 0
         """Number of connections in use and idle."""
         self.idle_limits: dict[str, IdleLimit] = {}
         """By endpoint that dropped idle connections early; the sweep removes expired limits."""
 
-    def apply_limits(self, limits: ServerLimits) -> None:
+    def apply_limits(self, limits: EndpointConnectionLimits, http_limits: HttpLimits) -> None:
         """Replaces the limits; open connections stay open."""
         self.limits = limits
+        self.http_limits = http_limits
 
     def acquire(self, endpoint_id: str, address: Address) -> HttpConnection:
         """Returns a usable idle connection, else a new one to the address.
@@ -93,7 +96,7 @@
         """Returns a new connection, in use. Raises OSError if the connection fails."""
         self.open += 1
         try:
-            return open_connection(address, self.limits.http)
+            return open_connection(address, self.http_limits)
         except BaseException:
             self.open -= 1
             raise
@@ -122,7 +125,7 @@
             self.close(self.idle[endpoint_id].popleft().connection)
             if not self.idle[endpoint_id]:
                 del self.idle[endpoint_id]
-        return self.open < self.limits.endpoints.endpoint_connections
+        return self.open < self.limits.endpoint_connections
 
     def idle_limit(self, endpoint_id: str) -> float:
         """Returns the seconds for which connections of the endpoint may be idle before they are closed."""
--- a/ashpath/server/delivery/file_notifier.py
+++ b/ashpath/server/delivery/file_notifier.py
@@ -11,7 +11,7 @@
 
 from ashpath.server.delivery.notifier import PendingNotifications, encode_batch
 from ashpath.server.delivery.rotating_file import RotatingFile
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.notifications import NotificationLimits
 from ashpath.server.logs import Logger
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
@@ -21,11 +21,17 @@
     """A `Notifier` whose receiver is a file."""
 
     def __init__(
-        self, file: RotatingFile, limits: ServerLimits, write_ahead_log: WriteAheadLog, logger: Logger
+        self,
+        file: RotatingFile,
+        limits: NotificationLimits,
+        retry_s: float,
+        write_ahead_log: WriteAheadLog,
+        logger: Logger,
     ) -> None:
         super().__init__(write_ahead_log)
         self.file = file
         self.limits = limits
+        self.retry_s = retry_s  # after a failed write
         self.logger = logger
         self.failing = False  # the last write failed and its error was logged
 
@@ -38,7 +44,7 @@
                 self.file.append(encode_batch(batch))
             except OSError as error:
                 self.write_failed(error)
-                gevent.sleep(self.limits.retry_s)
+                gevent.sleep(self.retry_s)
             else:
                 self.write_succeeded(batch)
 
--- a/ashpath/server/delivery/http_notifier.py
+++ b/ashpath/server/delivery/http_notifier.py
@@ -23,7 +23,8 @@
 from ashpath.server.backoff import Backoff
 from ashpath.server.delivery.notifier import PendingNotifications, encode_batch
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
+from ashpath.server.limits.notifications import NotificationLimits
 from ashpath.server.logs import Logger
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
@@ -46,14 +47,15 @@
     def __init__(
         self,
         receiver: NotificationReceiver,
-        limits: ServerLimits,
+        limits: NotificationLimits,
+        http_limits: HttpLimits,
         write_ahead_log: WriteAheadLog,
         logger: Logger,
         backoff: Backoff,
     ) -> None:
         super().__init__(write_ahead_log)
         self.receiver = receiver
-        self.connection = AgentConnection(receiver.address, limits.http)
+        self.connection = AgentConnection(receiver.address, http_limits)
         self.limits = limits
         self.logger = logger
         self.backoff = backoff
--- a/ashpath/server/deployment.py
+++ b/ashpath/server/deployment.py
@@ -13,6 +13,7 @@
 from ashpath.server.configuration import SenderConfiguration
 from ashpath.server.delivery.notifier import Notifier
 from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.storage import StorageLimits
 from ashpath.server.logs import Logger
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
@@ -26,7 +27,7 @@
 class Deployment(Protocol):
     """Decides who is notified, where final outcomes are kept, and where traffic class ids are stored."""
 
-    def create_outcome_store(self, limits: ServerLimits, logger: Logger) -> OutcomeStore | None:
+    def create_outcome_store(self, limits: StorageLimits, logger: Logger) -> OutcomeStore | None:
         """Creates the store that answers clients' queries for final outcomes; None if the deployment has no
         such queries."""
         ...
--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -42,7 +42,8 @@
 )
 from ashpath.server.discovery.state import DiscoveryState, DiscoveryStateLog
 from ashpath.server.http.messages import HttpResponse
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.discovery import DiscoveryLimits
+from ashpath.server.limits.http import HttpLimits
 from ashpath.server.logs import Logger
 
 OK_STATUS = 200
@@ -74,7 +75,9 @@
     def __init__(
         self,
         address: Address,
-        limits: ServerLimits,
+        limits: DiscoveryLimits,
+        http_limits: HttpLimits,
+        retry_s: float,
         revision: int,
         listener: MembershipListener,
         random: Random,
@@ -83,8 +86,9 @@
         *,
         pushed: bool = False,
     ) -> None:
-        self.connection = AgentConnection(address, limits.http)
+        self.connection = AgentConnection(address, http_limits)
         self.limits = limits
+        self.retry_s = retry_s
         self.revision: int | None = revision  # revision of the next poll; None: poll for a snapshot
         self.listener = listener
         self.first_poll_delay_s = first_poll_delay_s
@@ -100,7 +104,7 @@
         self.random = random
         self.logger = logger
         self.state_log = DiscoveryStateLog(logger)
-        self.silent_backoff = Backoff(random, limits.retry_s, limits.discovery_backoff_s)
+        self.silent_backoff = Backoff(random, retry_s, limits.discovery_backoff_s)
         self.rejected_backoff = Backoff(
             random,
             limits.watch_s,
@@ -148,7 +152,7 @@
                 silent_s += ended - began
             if ended >= give_up_at:
                 break
-            gevent.sleep(self.limits.retry_s * self.random.random())
+            gevent.sleep(self.retry_s * self.random.random())
         self.logger.warning("endpoint list not confirmed", silent_s=round(silent_s, 2))
 
     def run(self) -> None:
@@ -191,13 +195,13 @@
 
         A healthy agent returns a snapshot at once. As the agent may be slow, a poll for a snapshot may take
         longer if the lease has time."""
-        watch_s = self.limits.discovery.watch_s + self.limits.discovery.watch_grace_s
+        watch_s = self.limits.watch_s + self.limits.watch_grace_s
         if self.revision is not None:
             return watch_s
         if self.pushed:
-            return self.limits.discovery.pushed_snapshot_s
+            return self.limits.pushed_snapshot_s
         share_s = self.lease.remaining(monotonic()) * POLL_SHARE
-        return min(watch_s, max(self.limits.discovery.snapshot_s, share_s))
+        return min(watch_s, max(self.limits.snapshot_s, share_s))
 
     def poll(self, timeout_s: float) -> HttpResponse | None:
         """Polls once; returns the response, or None if none arrived within `timeout_s`."""
@@ -214,7 +218,7 @@
             self.late_polls.append(poll)
         else:
             poll.connection.abort()
-        self.connection = AgentConnection(self.connection.address, self.limits.http)
+        self.connection = AgentConnection(self.connection.address, self.connection.limits)
         return None
 
     def run_poll(self, poll: Poll, request_line: bytes) -> None:
--- a/ashpath/server/limits/server_limits.py
+++ b/ashpath/server/limits/server_limits.py
@@ -102,9 +102,6 @@
                 return name
         raise UnknownLimitError(key)
 
-    def __getattr__(self, key: str) -> Any:  # noqa: ANN401 - for modules that do not receive their structure yet
-        return getattr(getattr(self, self.structure_of(key)), key)
-
 
 def endpoint_connections(descriptors: int, max_in_flight: int) -> int:
     """Returns how many descriptors are allotted to connections to endpoints."""
--- a/ashpath/server/platform_deployment.py
+++ b/ashpath/server/platform_deployment.py
@@ -33,6 +33,7 @@
     UnusableConfigurationError,
 )
 from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.storage import StorageLimits
 from ashpath.server.log_writer import LogWriter
 from ashpath.server.logs import LogFormat, Logger, create_logger
 from ashpath.server.policy_runner import PolicyRunner
@@ -122,14 +123,15 @@
         self.traffic_class_ids = TrafficClassIds(state)
         self.agent = agent
 
-    def create_outcome_store(self, limits: ServerLimits, logger: Logger) -> None:
+    def create_outcome_store(self, limits: StorageLimits, logger: Logger) -> None:
         """Returns None: see `Deployment`."""
 
     def create_notifier(
         self, limits: ServerLimits, write_ahead_log: WriteAheadLog, backoff: Backoff, logger: Logger
     ) -> Notifier:
         """Returns a notifier that sends to the agent's address."""
-        return HttpNotifier(NotificationReceiver(self.agent), limits, write_ahead_log, logger, backoff)
+        receiver = NotificationReceiver(self.agent)
+        return HttpNotifier(receiver, limits.notifications, limits.http, write_ahead_log, logger, backoff)
 
     def create_status_api(
         self, policy_runner: PolicyRunner, outcome_store: OutcomeStore | None, names: list[str]
--- a/ashpath/server/policy_runner.py
+++ b/ashpath/server/policy_runner.py
@@ -27,6 +27,7 @@
 from ashpath.server.delivery.attempts import Attempt, AttemptResult
 from ashpath.server.delivery.outcome_recorder import OutcomeRecorder, SubmitResult
 from ashpath.server.gossip_link import GossipPublisher
+from ashpath.server.limits.services import ServiceLimits
 from ashpath.server.logs import Logger
 from ashpath.server.message_restoration import MessageRestorer
 from ashpath.server.policy_actions import QueuedActions
@@ -54,6 +55,7 @@
         detached_endpoints: DetachedEndpoints,
         outage_store: OutageStore,
         gossip: GossipPublisher,
+        limits: ServiceLimits,
         logger: Logger,
     ) -> None:
         self.write_ahead_log = write_ahead_log
@@ -61,6 +63,7 @@
         self.attempt_runner = attempt_runner
         self.shared_memory = shared_memory
         self.outage_store = outage_store
+        self.limits = limits
         self.logger = logger
         self.messages: dict[int, StoredMessage] = {}
         """Accepted, unfinished messages by message id. A message is removed with its final outcome."""
@@ -205,7 +208,7 @@
         if not self.recording_failed:
             self.logger.error("attempt not recorded", error=str(error))
         self.recording_failed = True
-        pause_s = self.attempt_runner.pool.limits.retry_s
+        pause_s = self.limits.retry_s
         gevent.spawn_later(pause_s, self._report_result, attempt, NOT_SENT)
 
     def still_valid(self, message: StoredMessage) -> bool:
--- a/ashpath/server/reload.py
+++ b/ashpath/server/reload.py
@@ -15,6 +15,7 @@
 from gevent.event import Event
 from msgspec.structs import replace
 
+from ashpath.core.interface import PolicySettings
 from ashpath.server.configuration import RunningConfiguration, SenderConfiguration
 from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
@@ -106,19 +107,11 @@
         self.deployment.store_traffic_class_ids(configuration)
         self.running.current = configuration
         settings = configuration.settings
-        # Descriptors are allotted only at a start: until the next start, attempts must not outnumber
-        # connections.
-        policy_settings = replace(
-            settings.policy_settings,
-            max_in_flight=min(settings.policy_settings.max_in_flight, self.limits.endpoint_connections),
-        )
+        limits = configuration.limits
+        policy_settings = self.limit_attempts(settings.policy_settings)
         self.pool.apply_limits(
-            self.limits.with_fields(
-                {
-                    "connect_s": configuration.limits.connect_s,
-                    "endpoint_idle_s": configuration.limits.endpoint_idle_s,
-                }
-            )
+            replace(self.limits.endpoints, endpoint_idle_s=limits.endpoints.endpoint_idle_s),
+            replace(self.limits.http, connect_s=limits.http.connect_s),
         )
         self.registry.configure(settings.kinds, settings.zones)
         self.admission.apply_settings(policy_settings, settings.traffic_class_ids)
@@ -133,6 +126,12 @@
             in_flight=len(self.policy_runner.attempts),
         )
 
+    def limit_attempts(self, settings: PolicySettings) -> PolicySettings:
+        """Returns settings with at most one attempt for each connection to an endpoint, whose number stays
+        the same until the next start, as descriptors are allotted only then."""
+        connections = self.limits.endpoints.endpoint_connections
+        return replace(settings, max_in_flight=min(settings.max_in_flight, connections))
+
 
 class PlatformReloader:
     """Reloads a sender under the platform's agent. The agent's address and the settings may change; changed
--- a/ashpath/server/sender.py
+++ b/ashpath/server/sender.py
@@ -20,7 +20,7 @@
 from ashpath.server.gossip_link import GossipLink
 from ashpath.server.http.admission import Admission
 from ashpath.server.http.listener import ClientListener
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.services import ServiceLimits
 from ashpath.server.logs import Logger
 from ashpath.server.optional_services import GossipService, MetricsService
 from ashpath.server.policy_runner import PolicyRunner
@@ -77,8 +77,8 @@
 
     process_options: ProcessOptions
     running: RunningConfiguration
-    limits: ServerLimits
-    """Limits of the process. Those of a later configuration take effect at the next start."""
+    limits: ServiceLimits
+    """Limits of the services. Those of a later configuration take effect at the next start."""
     logger: Logger
     delivery: DeliveryPath
     clients: ClientSide
--- a/ashpath/server/state_files.py
+++ b/ashpath/server/state_files.py
@@ -4,7 +4,7 @@
 
 from __future__ import annotations
 
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.storage import StorageLimits
 from ashpath.server.logs import Logger
 from ashpath.server.sender import ProcessOptions
 from ashpath.server.storage import outage_store, shared_memory
@@ -15,7 +15,7 @@
 
 
 def open_write_ahead_log(
-    process_options: ProcessOptions, limits: ServerLimits, logger: Logger
+    process_options: ProcessOptions, limits: StorageLimits, logger: Logger
 ) -> WriteAheadLog:
     """Opens the write-ahead log, whose maximum size is `disk_bytes` without the shared memory and the
     outages.
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -26,7 +26,7 @@
 from ashpath.server.gossip_link import GossipLink
 from ashpath.server.http.admission import Admission
 from ashpath.server.http.listener import ClientListener
-from ashpath.server.limits.server_limits import ServerLimits
+from ashpath.server.limits.services import ServiceLimits
 from ashpath.server.limits.shutdown import ShutdownLimits
 from ashpath.server.logs import Logger
 from ashpath.server.operator_commands import OperatorCommands
@@ -51,7 +51,7 @@
     Raises `StartupError`, or one of `UNUSABLE_CONFIGURATION_ERRORS` if the state directory, an address or a
     list in the configuration cannot be used.
     """
-    write_ahead_log = state_files.open_write_ahead_log(process_options, configuration.limits, logger)
+    write_ahead_log = state_files.open_write_ahead_log(process_options, configuration.limits.storage, logger)
     configuration = deployment.restore_traffic_class_ids(
         configuration,
         has_live_messages=bool(write_ahead_log.messages.live) or process_options.inherited_socket is not None,
@@ -68,13 +68,15 @@
     return Sender(
         process_options=process_options,
         running=running,
-        limits=configuration.limits,
+        limits=configuration.limits.services,
         logger=logger,
         delivery=delivery,
         clients=clients,
         control=control,
         discovery=discovery,
-        orphan_adopter=create_orphan_adopter(process_options, configuration.limits, delivery, logger),
+        orphan_adopter=create_orphan_adopter(
+            process_options, configuration.limits.services, delivery, logger
+        ),
         gossip=gossip,
         metrics=metrics,
         settings_switch=create_settings_switch(
@@ -95,10 +97,10 @@
     limits = configuration.limits
     settings = configuration.settings
     shared_memory = state_files.open_shared_memory(process_options, logger)
-    outcome_store = deployment.create_outcome_store(limits, logger)
+    outcome_store = deployment.create_outcome_store(limits.storage, logger)
     backoff = create_notifier_backoff(process_options, configuration)
     notifier = deployment.create_notifier(limits, write_ahead_log, backoff, logger)
-    pool = ConnectionPool(limits)
+    pool = ConnectionPool(limits.endpoints, limits.http)
     registry = EndpointRegistry(settings.kinds, settings.zones, pool, logger)
     recorder = OutcomeRecorder(write_ahead_log, notifier, outcome_store)
     attempt_runner = AttemptRunner(pool, registry, create_classifier(settings), notifier, logger)
@@ -113,6 +115,7 @@
         detached_endpoints,
         OutageStore(process_options.state_directory, logger),
         gossip_link,
+        limits.services,
         logger,
     )
     return DeliveryPath(
@@ -140,7 +143,7 @@
     """Creates the backoff for failed notifications."""
     limits = configuration.limits
     chance = Random(f"{random_seed(process_options, configuration)}/n")
-    return Backoff(chance, limits.retry_s, limits.notification_backoff_s)
+    return Backoff(chance, limits.services.retry_s, limits.notifications.notification_backoff_s)
 
 
 def random_seed(process_options: ProcessOptions, configuration: SenderConfiguration) -> str:
@@ -215,13 +218,15 @@
     """
     if configuration.platform_address is None:
         return None
-    limits = configuration.limits
+    limits = configuration.limits.discovery
     policy_settings = configuration.policy_settings
     spacing_s = min(limits.first_poll_spacing_s, limits.watch_s / policy_settings.sender_count)
     first_poll_delay_s = policy_settings.sender_index * spacing_s
     return DiscoveryClient(
         configuration.platform_address,
         limits,
+        configuration.limits.http,
+        configuration.limits.services.retry_s,
         int(configuration.known_endpoints.get("revision") or 0),
         membership,
         Random(f"{random_seed(process_options, configuration)}/d"),
@@ -232,7 +237,7 @@
 
 
 def create_orphan_adopter(
-    process_options: ProcessOptions, limits: ServerLimits, delivery: DeliveryPath, logger: Logger
+    process_options: ProcessOptions, limits: ServiceLimits, delivery: DeliveryPath, logger: Logger
 ) -> OrphanAdopter | None:
     """Creates the adopter of orphaned logs, or returns None if no other process of this sender can exist."""
     if process_options.inherited_socket is None:
@@ -256,7 +261,7 @@
         discovery=discovery,
         gossip_service=gossip,
     )
-    return MetricsService(source, delivery.recorder, running.current.limits.adoption_interval_s)
+    return MetricsService(source, delivery.recorder, running.current.limits.services.adoption_interval_s)
 
 
 def create_settings_switch(
--- a/tests/config/test_platform_form.py
+++ b/tests/config/test_platform_form.py
@@ -5,6 +5,7 @@
 from pathlib import Path
 
 from support.configuration import TEXT, write_file
+from support.limits import values_by_key
 
 from ashpath.config.loading import read_configuration
 from ashpath.config.platform_form import platform_form
@@ -62,8 +63,10 @@
 def test_file_gives_same_limits_as_platform_json(tmp_path: Path) -> None:
     form = platform_form(read_configuration(write_file(tmp_path, TEXT)), "8c1f")
     settings = sender_settings(0x8C1F, PLATFORM_SETTINGS)
-    platform_limits = ServerLimits.from_configuration({"sockets": 1024, "disk_mb": 3.0}, settings)
-    file_limits = ServerLimits.from_configuration(form["limits"], settings)
+    platform_limits = values_by_key(
+        ServerLimits.from_configuration({"sockets": 1024, "disk_mb": 3.0}, settings)
+    )
+    file_limits = values_by_key(ServerLimits.from_configuration(form["limits"], settings))
     for name in (
         "client_connections",
         "endpoint_connections",
@@ -71,7 +74,7 @@
         "connect_s",
         "endpoint_idle_s",
     ):
-        assert getattr(file_limits, name) == getattr(platform_limits, name), name
+        assert file_limits[name] == platform_limits[name], name
 
 
 def test_endpoint_list_has_ids_and_phases(tmp_path: Path) -> None:
--- a/tests/server/delivery/test_attempt_runner.py
+++ b/tests/server/delivery/test_attempt_runner.py
@@ -75,7 +75,7 @@
 
     world.servers[0].set_handle(serve)
     stages = DeliveryStages(world)
-    stages.pool.limits = limits_with(response_rest_s=0.05)
+    stages.pool.http_limits = limits_with(response_rest_s=0.05).http
     for count, (data, (outcome, kept)) in enumerate(RESPONSES.items(), 1):
         stages.start("s", b"")
         wait_until(lambda count=count: len(stages.outcomes) == count)  # type: ignore[misc]  # bound in the loop
@@ -247,7 +247,7 @@
 def test_exhausted_connection_pool_is_a_local_fault(world: World) -> None:
     """The attempt is not sent because all connections are in use, which is a local fault."""
     stages = DeliveryStages(world)
-    stages.pool.limits = limits_with(endpoint_connections=0)
+    stages.pool.limits = limits_with(endpoint_connections=0).endpoints
     stages.start("a", b"200")
     wait_until(lambda: bool(stages.outcomes))
     assert stages.outcomes == [AttemptOutcome.LOCAL_FAULT]
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -4,6 +4,7 @@
 
 import pytest
 from gevent import socket
+from support.limits import connection_pool
 from support.stages import DeliveryStages
 from support.world import LIMITS, World, request, reset_connection, wait_until
 
@@ -30,7 +31,7 @@
 def test_unusable_idle_connections_are_closed(world: World) -> None:
     """Connections that are closed by the far end, hold unexpected bytes or were idle for too long are closed,
     both on reuse and by the sweep."""
-    pool = ConnectionPool(LIMITS)
+    pool = connection_pool()
     good, closed, spoilt, old = (pool.connect(endpoint_address(world)) for _ in range(4))
     for connection in (closed, spoilt, good, old):
         pool.release("e1", connection)
@@ -39,7 +40,7 @@
     wait_until(lambda: not closed.is_idle() and not spoilt.is_idle())
     assert pool.acquire_idle("e1") is good
     assert pool.open == 2
-    backdate_idle_connection(pool, 0, LIMITS.endpoint_idle_s)
+    backdate_idle_connection(pool, 0, LIMITS.endpoints.endpoint_idle_s)
     pool.release("e1", good)
     pool.sweep()
     assert [idle.connection for idle in pool.idle["e1"]] == [good]
@@ -48,10 +49,10 @@
 
 def test_longest_idle_connection_is_evicted_at_the_limit(world: World) -> None:
     """At the limit, a new connection replaces the longest idle one; without an idle one, acquire fails."""
-    pool = ConnectionPool(LIMITS)
+    pool = connection_pool()
     address = endpoint_address(world)
     pool.release("e1", pool.connect(address))
-    in_use = [pool.connect(address) for _ in range(LIMITS.endpoint_connections - 1)]
+    in_use = [pool.connect(address) for _ in range(LIMITS.endpoints.endpoint_connections - 1)]
     assert pool.make_room()
     assert not pool.idle
     in_use.append(pool.acquire("e2", address))
@@ -61,7 +62,7 @@
     pool.release("e1", in_use[0])
     pool.close_idle("e1")
     assert not pool.idle
-    assert pool.open == LIMITS.endpoint_connections - 1
+    assert pool.open == LIMITS.endpoints.endpoint_connections - 1
 
 
 def test_reset_of_idle_connection_shortens_idle_limit(world: World) -> None:
@@ -85,7 +86,7 @@
     stages.start("a", b"reset")  # uses the young connection, now the longest idle
     wait_until(lambda: stages.outcomes == [AttemptOutcome.CONNECTION_RESET])
     assert 0.1 < pool.idle_limit("e1") < 0.2
-    assert pool.idle_limit("e2") == LIMITS.endpoint_idle_s
+    assert pool.idle_limit("e2") == LIMITS.endpoints.endpoint_idle_s
     last = pool.connect(address)
     pool.release("e1", last)
     assert pool.acquire_idle("e1") is last
@@ -102,4 +103,4 @@
     pool.idle_limits["e1"] = IdleLimit(longest_idle=0.5, until=0.0)
     pool.sweep()
     assert not pool.idle_limits
-    assert pool.idle_limit("e1") == LIMITS.endpoint_idle_s
+    assert pool.idle_limit("e1") == LIMITS.endpoints.endpoint_idle_s
--- a/tests/server/delivery/test_endpoint_registry.py
+++ b/tests/server/delivery/test_endpoint_registry.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from support.limits import limits_with
+from support.limits import connection_pool, limits_with
 from support.server import LOG
 from support.stages import DeliveryStages
-from support.world import LIMITS, World, wait_until
+from support.world import World, wait_until
 
 from ashpath.core.interface import AttemptOutcome
-from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 
 
@@ -47,13 +46,13 @@
 def test_destination_without_endpoint_is_served_until_forgotten() -> None:
     """A destination stays served between the removal of an endpoint and the listing of its successor, and is
     forgotten after `forget_destination_s` without endpoints."""
-    registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), LOG)
+    registry = EndpointRegistry(["plain"], ["here"], connection_pool(), LOG)
     row = {"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}
     registry.apply_members([row], complete=True)
     registry.apply_members([], complete=True)
     assert registry.serves(1)
     assert not registry.serves(2)
-    registry.pool.limits = limits_with(forget_destination_s=0.0)
+    registry.pool.limits = limits_with(forget_destination_s=0.0).endpoints
     registry.apply_members([{**row, "cell": 2}], complete=True)
     assert registry.serves(2)
     assert not registry.serves(1)
--- a/tests/server/delivery/test_file_notifier.py
+++ b/tests/server/delivery/test_file_notifier.py
@@ -9,15 +9,16 @@
 import pytest
 from support.limits import limits_with
 from support.notifications import ended_message
-from support.world import wait_until
+from support.world import LIMITS, wait_until
 
 from ashpath.server.delivery.file_notifier import FileNotifier
 from ashpath.server.delivery.rotating_file import RotatingFile
 
 
 def test_each_notification_is_one_line_of_the_file(tmp_path: Path) -> None:
-    limits = limits_with(notification_batch=2)
-    notifier = FileNotifier(RotatingFile(tmp_path / "n", 1000, 1), limits, Mock(), Mock())
+    limits = limits_with(notification_batch=2).notifications
+    file = RotatingFile(tmp_path / "n", 1000, 1)
+    notifier = FileNotifier(file, limits, LIMITS.services.retry_s, Mock(), Mock())
     for trace_id in "abc":
         notifier.add(ended_message(trace_id))
     running = gevent.spawn(notifier.run)
@@ -40,7 +41,7 @@
         append(data)
 
     monkeypatch.setattr(file, "append", fail_first)
-    notifier = FileNotifier(file, limits_with(retry_s=0.001), log, logger)
+    notifier = FileNotifier(file, LIMITS.notifications, 0.001, log, logger)
     message = ended_message("a")
     notifier.add(message)
     running = gevent.spawn(notifier.run)
--- a/tests/server/delivery/test_http_notifier.py
+++ b/tests/server/delivery/test_http_notifier.py
@@ -46,7 +46,7 @@
     """Sends notifications of the messages a, b, c until all are acknowledged; returns the receiver."""
     receiver = ScriptedReceiver(statuses)
     backoff = Backoff(Random(0), min_s=0.001, max_s=0.002)
-    notifier = HttpNotifier(RECEIVER, LIMITS, Mock(), logger, backoff)
+    notifier = HttpNotifier(RECEIVER, LIMITS.notifications, LIMITS.http, Mock(), logger, backoff)
     monkeypatch.setattr(notifier.connection, "call", receiver.call)
     for trace_id in "abc":
         notifier.add(ended_message(trace_id))
@@ -83,7 +83,9 @@
 
 def test_move_changes_address_path_and_headers(monkeypatch: pytest.MonkeyPatch) -> None:
     receiver = ScriptedReceiver([204])
-    notifier = HttpNotifier(RECEIVER, LIMITS, Mock(), Mock(), Backoff(Random(0), 0.1, 0.2))
+    notifier = HttpNotifier(
+        RECEIVER, LIMITS.notifications, LIMITS.http, Mock(), Mock(), Backoff(Random(0), 0.1, 0.2)
+    )
     monkeypatch.setattr(notifier.connection, "call", receiver.call)
     notifier.change_receiver(NotificationReceiver(("127.0.0.1", 2), b"/moved"))
     notifier.add(ended_message("a"))
--- a/tests/server/delivery/test_outcome_recorder.py
+++ b/tests/server/delivery/test_outcome_recorder.py
@@ -25,7 +25,7 @@
     """A recorder with one message whose attempt is in flight; serves as outcome store and metrics itself."""
 
     def __init__(self, directory: Path) -> None:
-        self.write_ahead_log = WriteAheadLog(directory, LIMITS.disk_bytes)
+        self.write_ahead_log = WriteAheadLog(directory, LIMITS.storage.disk_bytes)
         self.notifier = unreachable_notifier(self.write_ahead_log)
         self.recorder = OutcomeRecorder(self.write_ahead_log, self.notifier, self)
         self.recorder.use_metrics(self)
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -13,7 +13,7 @@
 import pytest
 from gevent import socket
 from gevent.server import StreamServer
-from support.limits import limits_with
+from support.limits import discovery_client, limits_with
 from support.server import LOG, address_of
 from support.stages import DeliveryStages
 from support.world import LIMITS, World, reset_connection, wait_until
@@ -106,7 +106,7 @@
 )
 def test_unreadable_or_empty_list_changes_nothing(body: bytes) -> None:
     listener = RecordingListener()
-    client = DiscoveryClient(UNUSED_ADDRESS, LIMITS, 3, listener, Random(1), LOG)
+    client = discovery_client(UNUSED_ADDRESS, 3, listener, Random(1), LOG)
     assert not client.apply_response(body)
     assert client.revision == 3
     assert listener.reports == []
@@ -114,7 +114,7 @@
 
 def test_listener_receives_updates_and_snapshots_as_such() -> None:
     listener = RecordingListener()
-    client = DiscoveryClient(UNUSED_ADDRESS, LIMITS, 1, listener, Random(1), LOG)
+    client = discovery_client(UNUSED_ADDRESS, 1, listener, Random(1), LOG)
     assert client.apply_response(b'{"revision":2,"complete":false,"members":[]}')
     assert client.revision == 2
     assert listener.reports == []
@@ -136,12 +136,12 @@
         gevent.sleep(30)
 
     world.servers[1].set_handle(stop_answering)
-    client = DiscoveryClient(address_of(world.servers[1]), LIMITS, 1, listener, Random(1), LOG)
+    client = discovery_client(address_of(world.servers[1]), 1, listener, Random(1), LOG)
     began = monotonic()
     running = gevent.spawn(client.run)
     wait_until(lambda: listener.rows)
     assert listener.rows[0] == {"phase": "draining"}
-    assert monotonic() - began < min(6.0, LIMITS.watch_s + 2.0)
+    assert monotonic() - began < min(6.0, LIMITS.discovery.watch_s + 2.0)
     running.kill()
 
 
@@ -169,7 +169,7 @@
     agent = ScriptedAgent(world, [*answers, "hold"])
     listener = RegistryListener(DeliveryStages(world).registry)
     limits = limits_with(watch_s=0.01, retry_s=0.01, discovery_rejected_backoff_s=0.01)
-    client = DiscoveryClient(agent.address, limits, 5, listener, Random(1), LOG)
+    client = discovery_client(agent.address, 5, listener, Random(1), LOG, limits=limits)
     running = gevent.spawn(client.run)
     wait_until(lambda: len(agent.queries) == 2)
     assert agent.queries == [b"index=5", next_query]
@@ -182,7 +182,7 @@
     old = ScriptedAgent(world, [{"revision": 41, "members": [{**ROW, "id": "stale"}]}, "hold"])
     new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
     listener = RecordingListener()
-    client = DiscoveryClient(old.address, LIMITS, 5, listener, Random(1), LOG)
+    client = discovery_client(old.address, 5, listener, Random(1), LOG)
 
     def move_and_dial(sock: socket.socket, address: Address, limits: HttpLimits) -> HttpConnection:
         connection = dial(sock, address, limits)
@@ -205,7 +205,7 @@
     headers = [(b"Retry-After", retry_after)] if retry_after else []
     old = ScriptedAgent(world, [encode_message(b"HTTP/1.1 429 X", headers, b""), "hold"])
     new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
-    client = DiscoveryClient(old.address, LIMITS, 5, RecordingListener(), Random(1), LOG)
+    client = discovery_client(old.address, 5, RecordingListener(), Random(1), LOG)
     running = gevent.spawn(client.run)
     wait_until(lambda: client.pause.active)
     began = monotonic()
@@ -217,9 +217,10 @@
     running.kill()
 
 
+LONGEST_WATCH_S = LIMITS.discovery.watch_s + LIMITS.discovery.watch_grace_s
 # Kinds of failed polls: backoff used, Retry-After, and longest duration of the poll in seconds.
 FAILURES: dict[str, Callable[[DiscoveryClient], tuple[Backoff, float | None, float]]] = {
-    "silent": lambda client: (client.silent_backoff, None, LIMITS.watch_s + LIMITS.watch_grace_s),
+    "silent": lambda client: (client.silent_backoff, None, LONGEST_WATCH_S),
     "rejected": lambda client: (client.rejected_backoff, None, 0.5),
     "a short Retry-After": lambda client: (client.rejected_backoff, 1.0, 0.5),
     "a long Retry-After": lambda client: (client.rejected_backoff, 600.0, 0.5),
@@ -233,7 +234,7 @@
     fleet = 200
     fourth_pauses = []
     for seed in range(fleet):
-        client = DiscoveryClient(UNUSED_ADDRESS, LIMITS, 1, RecordingListener(), Random(seed), LOG)
+        client = discovery_client(UNUSED_ADDRESS, 1, RecordingListener(), Random(seed), LOG)
         backoff, retry_after_s, lasts = FAILURES[kind](client)
         pauses = [backoff.next_pause(retry_after_s) for _ in range(8)]
         assert max(pauses) + lasts < 5.5
@@ -247,7 +248,7 @@
 def test_agent_list_applies_before_first_attempt_after_restart(world: World) -> None:
     """After a restart the configuration's list may be old. The agent's list must be applied before the first
     attempt, so that an accepted message goes to the successor of a drained endpoint."""
-    log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
+    log = WriteAheadLog(world.folder / "state", LIMITS.storage.disk_bytes)
     assert log.record_submitted(StoredMessage(1, "a", 0, 1, None, None, stored_time() + 20_000_000, b"200"))
     log.close()
     connections: list[object] = []
@@ -288,7 +289,7 @@
     response.status = status
     response.headers = headers
     logger = Mock()
-    client = DiscoveryClient(("127.0.0.1", 9), LIMITS, 0, RecordingListener(), Random(seed), logger, 0.7)
+    client = discovery_client(("127.0.0.1", 9), 0, RecordingListener(), Random(seed), logger, 0.7)
     if lease_over:
         client.lease.expires_at = monotonic() - 1.0
     monkeypatch.setattr(client.connection, "call", lambda *_: response if status else None)
@@ -314,9 +315,9 @@
     assert first != second  # not in step
     assert all(pause >= 3 for pause in waited)  # the pauses respect Retry-After
     assert (
-        max(silent) <= LIMITS.discovery_backoff_s < 4 * LIMITS.watch_s
+        max(silent) <= LIMITS.discovery.discovery_backoff_s < 4 * LIMITS.discovery.watch_s
     )  # short, to detect the end of an outage soon
-    assert max(first) <= LIMITS.discovery_rejected_backoff_s
+    assert max(first) <= LIMITS.discovery.discovery_rejected_backoff_s
     assert sum(first) > 4 * sum(silent)
 
 
@@ -326,8 +327,8 @@
     first_pauses = []
     for seed in range(100):
         pauses, _ = pauses_of_client(monkeypatch, str(seed), 503, {b"retry-after": b"60"})
-        assert pauses[0] <= LIMITS.list_lease_s / 2
-        assert max(pauses) <= LIMITS.list_lease_s
+        assert pauses[0] <= LIMITS.discovery.list_lease_s / 2
+        assert max(pauses) <= LIMITS.discovery.list_lease_s
         first_pauses.append(pauses[0])
     largest_group = max(sum(at <= other < at + 0.1 for other in first_pauses) for at in first_pauses)
     assert largest_group < 100 / 6, "too many senders would poll at the same time"
--- a/tests/server/discovery/test_lease.py
+++ b/tests/server/discovery/test_lease.py
@@ -19,15 +19,15 @@
     mixture: tuple[str, ...], *, moved: bool
 ) -> None:
     """After a silent watch or a change of address, with the longest pauses of the backoffs."""
-    lease = ListLease(0.0, LIMITS.list_lease_s)
-    now = 0.0 if moved else LIMITS.watch_s + LIMITS.watch_grace_s
+    lease = ListLease(0.0, LIMITS.discovery.list_lease_s)
+    now = 0.0 if moved else LIMITS.discovery.watch_s + LIMITS.discovery.watch_grace_s
     if moved:
-        lease.shorten(0.0, LIMITS.moved_list_lease_s)
+        lease.shorten(0.0, LIMITS.discovery.moved_list_lease_s)
     else:
-        now += lease.pause_after_silence(now, LIMITS.retry_s)
+        now += lease.pause_after_silence(now, LIMITS.services.retry_s)
     for failure in mixture:
         lasts_s, rejected = FAILURES[failure]
-        now += max(LIMITS.snapshot_s, lease.remaining(now) / 2) if lasts_s is None else lasts_s
+        now += max(LIMITS.discovery.snapshot_s, lease.remaining(now) / 2) if lasts_s is None else lasts_s
         pause = (
             lease.pause_after_rejection(now, 4.5, 1.0) if rejected else lease.pause_after_silence(now, 0.2)
         )
--- a/tests/server/test_endpoint_membership.py
+++ b/tests/server/test_endpoint_membership.py
@@ -6,10 +6,9 @@
 
 import pytest
 import structlog
-from support.world import LIMITS
+from support.limits import connection_pool
 
 from ashpath.core.interface import EndpointRecord
-from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 from ashpath.server.endpoint_membership import EndpointMembership
 from ashpath.server.policy_runner import PolicyRunner
@@ -24,7 +23,7 @@
     members: list[dict[str, object]], complete: bool
 ) -> None:
     """An unreadable member does not keep the others from being applied, and is reported."""
-    registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), structlog.get_logger())
+    registry = EndpointRegistry(["plain"], ["here"], connection_pool(), structlog.get_logger())
     policy_runner = create_autospec(PolicyRunner, instance=True)
     policy_updates: list[tuple[list[str], bool, bool]] = []
 
--- a/tests/server/test_message_restoration.py
+++ b/tests/server/test_message_restoration.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def write_ahead_log(tmp_path: Path) -> WriteAheadLog:
-    return WriteAheadLog(tmp_path, LIMITS.disk_bytes)
+    return WriteAheadLog(tmp_path, LIMITS.storage.disk_bytes)
 
 
 def store_message(
--- a/tests/server/test_policy_actions.py
+++ b/tests/server/test_policy_actions.py
@@ -6,11 +6,11 @@
 
 import pytest
 import structlog
+from support.limits import connection_pool
 from support.stages import unreachable_notifier
 from support.world import LIMITS, POLICY_SETTINGS
 
 from ashpath.server.delivery.attempts import Attempt
-from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.outcome_recorder import OutcomeRecorder
 from ashpath.server.gossip_link import GossipLink
 from ashpath.server.policy_actions import QueuedActions
@@ -25,7 +25,7 @@
 
     def __init__(self, folder: Path) -> None:
         logger = structlog.get_logger()
-        write_ahead_log = WriteAheadLog(folder, LIMITS.disk_bytes)
+        write_ahead_log = WriteAheadLog(folder, LIMITS.storage.disk_bytes)
         self.effects: list[object] = []
         self.messages = {n: StoredMessage(n, f"t{n}", 0, 1, None, None, 0, b"") for n in range(1, 5)}
         self.attempts: dict[int, Attempt] = {}
@@ -38,7 +38,7 @@
             self.attempts,
             self,
             OutcomeRecorder(write_ahead_log, self.notifier),
-            ConnectionPool(LIMITS),
+            connection_pool(),
             OutageStore(folder, logger),
             gossip,
             Timers(self),
--- a/tests/server/test_policy_batch.py
+++ b/tests/server/test_policy_batch.py
@@ -8,10 +8,9 @@
 
 import pytest
 import structlog
-from support.world import LIMITS
+from support.limits import connection_pool
 
 from ashpath.policy.delivery_policy import DeliveryPolicy
-from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 from ashpath.server.policy_actions import QueuedActions
 from ashpath.server.policy_batch import PolicyBatch, SharedUpdateReader
@@ -28,7 +27,7 @@
     def __init__(self, directory: Path) -> None:
         logger = structlog.get_logger()
         self.detached_endpoints = DetachedEndpoints(directory, logger)
-        registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(LIMITS), logger)
+        registry = EndpointRegistry(["plain"], ["here"], connection_pool(), logger)
         registry.apply_members([LISTED], complete=True)
         self.calls = Mock()
         policy = create_autospec(DeliveryPolicy, instance=True)
--- a/tests/server/test_policy_runner.py
+++ b/tests/server/test_policy_runner.py
@@ -161,4 +161,4 @@
     assert len(failure_times) == 1
     wait_until(lambda: world.attempt_count("a") == 1 and not write_ahead_log.messages.live)
     assert len(failure_times) == 3
-    assert failure_times[2] - failure_times[0] > 1.5 * LIMITS.retry_s
+    assert failure_times[2] - failure_times[0] > 1.5 * LIMITS.services.retry_s
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -84,7 +84,7 @@
 def test_overdue_messages_are_finished_after_a_kill(world: World) -> None:
     """The restart finds a deduplication window and deadlines that have passed, and a notification that was
     not acknowledged. The sender makes no attempt."""
-    write_ahead_log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
+    write_ahead_log = WriteAheadLog(world.folder / "state", LIMITS.storage.disk_bytes)
     attempted_at = stored_time() - 20_000_000
     # The traffic class, the time left in microseconds, and whether an attempt was made.
     cases = [(1, 5_000_000, True), (0, -10, False), (1, -10, True), (0, 9, False)]
--- a/tests/support/server.py
+++ b/tests/support/server.py
@@ -24,7 +24,7 @@
     copy = world.folder / f"copy{len(list(world.folder.iterdir()))}"
     copy.mkdir()
     (copy / "journal").write_bytes((world.folder / "state" / "journal").read_bytes())
-    write_ahead_log = WriteAheadLog(copy, LIMITS.disk_bytes)
+    write_ahead_log = WriteAheadLog(copy, LIMITS.storage.disk_bytes)
     write_ahead_log.close()
     return write_ahead_log.messages.live
 
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -17,7 +17,6 @@
 from ashpath.server.backoff import Backoff
 from ashpath.server.delivery.attempt_runner import AttemptRunner
 from ashpath.server.delivery.attempts import Attempt, AttemptResult
-from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 from ashpath.server.delivery.http_notifier import HttpNotifier, NotificationReceiver
 from ashpath.server.delivery.outcome_recorder import ACCEPTED, OutcomeRecorder, SubmitResult
@@ -29,15 +28,17 @@
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import now
-from support.limits import limits_with
+from support.limits import connection_pool, limits_with
 from support.world import LIMITS, POLICY_SETTINGS, TRAFFIC_CLASSES, World
 
 
 def unreachable_notifier(write_ahead_log: WriteAheadLog) -> HttpNotifier:
     """Returns a notifier that is never started, so its notifications stay pending."""
     receiver = NotificationReceiver(("127.0.0.1", 1))
-    backoff = Backoff(Random(0), LIMITS.retry_s, LIMITS.notification_backoff_s)
-    return HttpNotifier(receiver, LIMITS, write_ahead_log, structlog.get_logger(), backoff)
+    backoff = Backoff(Random(0), LIMITS.services.retry_s, LIMITS.notifications.notification_backoff_s)
+    return HttpNotifier(
+        receiver, LIMITS.notifications, LIMITS.http, write_ahead_log, structlog.get_logger(), backoff
+    )
 
 
 class RecordingReceiver:
@@ -73,7 +74,7 @@
     log = WriteAheadLog(folder, max_bytes)
     receiver = RecordingReceiver()
     logger = structlog.get_logger()
-    registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(server_limits), logger)
+    registry = EndpointRegistry(["plain"], ["here"], connection_pool(server_limits), logger)
     registry.apply_members(
         [{"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}], complete=True
     )
@@ -104,9 +105,9 @@
 
     def __init__(self, world: World) -> None:
         logger = structlog.get_logger()
-        write_ahead_log = WriteAheadLog(world.folder, LIMITS.disk_bytes)
+        write_ahead_log = WriteAheadLog(world.folder, LIMITS.storage.disk_bytes)
         notifier = unreachable_notifier(write_ahead_log)
-        self.pool = ConnectionPool(LIMITS)
+        self.pool = connection_pool()
         self.registry = EndpointRegistry(["plain"], ["here"], self.pool, logger)
         self.registry.apply_members(world.members, complete=True)
         self.recorder = OutcomeRecorder(write_ahead_log, notifier)
