--- a/ashpath/server/policy_runner.py
+++ b/ashpath/server/policy_runner.py
@@ -20,6 +20,7 @@
 from collections.abc import Iterable, Sequence
 
 import gevent
+from msgspec import Struct
 
 from ashpath.core.interface import AttemptOutcome, EndpointRecord, PolicySettings
 from ashpath.policy.delivery_policy import DeliveryPolicy
@@ -42,57 +43,74 @@
 NOT_SENT = AttemptResult(AttemptOutcome.NOT_SENT)
 
 
+class StateFiles(Struct, frozen=True):
+    """The files of the state directory that the policy runner reads and writes."""
+
+    write_ahead_log: WriteAheadLog
+    shared_memory: SharedMemory
+    detached_endpoints: DetachedEndpoints
+    outage_store: OutageStore
+
+
 class PolicyRunner:
     """Owns the policy, the unfinished messages and the attempts in flight."""
 
+    messages: dict[int, StoredMessage]
+    """Accepted, unfinished messages by message id. A message is removed with its final outcome."""
+    attempts: dict[int, Attempt]
+    """Attempts in flight by message id. An attempt is removed with its outcome."""
+    abandoned: set[int]
+    """Ids of messages whose client disconnected while an attempt was in flight. An id is removed with the
+    outcome of that attempt."""
+    stopped: bool
+    """If True, no attempt is started: the next incarnation restores what is queued."""
+    recording_failed: bool
+    """Whether the last attempt could not be recorded. Only the first failure in a row is logged."""
+
     def __init__(
         self,
         settings: PolicySettings,
-        write_ahead_log: WriteAheadLog,
+        files: StateFiles,
         recorder: OutcomeRecorder,
         attempt_runner: AttemptRunner,
-        shared_memory: SharedMemory,
-        detached_endpoints: DetachedEndpoints,
-        outage_store: OutageStore,
         gossip: GossipPublisher,
         limits: ServiceLimits,
         logger: Logger,
     ) -> None:
-        self.write_ahead_log = write_ahead_log
+        self.write_ahead_log = files.write_ahead_log
         self.recorder = recorder
         self.attempt_runner = attempt_runner
-        self.shared_memory = shared_memory
-        self.outage_store = outage_store
+        self.shared_memory = files.shared_memory
+        self.outage_store = files.outage_store
         self.limits = limits
         self.logger = logger
-        self.messages: dict[int, StoredMessage] = {}
-        """Accepted, unfinished messages by message id. A message is removed with its final outcome."""
-        self.attempts: dict[int, Attempt] = {}
-        """Attempts in flight by message id. An attempt is removed with its outcome."""
-        self.abandoned: set[int] = set()
-        """Ids of messages whose client disconnected while an attempt was in flight. An id is removed with the
-        outcome of that attempt."""
-        self.stopped = False  # if True, no attempt is started: the next incarnation restores what is queued
+        self.messages = {}
+        self.attempts = {}
+        self.abandoned = set()
+        self.stopped = False
         self.recording_failed = False
-        """Whether the last attempt could not be recorded. Only the first failure in a row is logged."""
         self.timers = Timers(self)
-        pool = attempt_runner.pool
-        self.actions = QueuedActions(
+        self.actions = self._create_actions(settings, gossip)
+        self.policy = DeliveryPolicy(settings, self.actions)
+        self._shared = SharedUpdateReader(
+            files.shared_memory, files.detached_endpoints, attempt_runner.registry
+        )
+        self._batch = PolicyBatch(self.policy, self.actions, self._shared)
+        self._restorer = MessageRestorer(files.write_ahead_log, recorder.notifier)
+
+    def _create_actions(self, settings: PolicySettings, gossip: GossipPublisher) -> QueuedActions:
+        return QueuedActions(
             settings,
             self.messages,
             self.attempts,
             self,
-            recorder,
-            pool,
-            outage_store,
+            self.recorder,
+            self.attempt_runner.pool,
+            self.outage_store,
             gossip,
             self.timers,
-            logger,
+            self.logger,
         )
-        self.policy = DeliveryPolicy(settings, self.actions)
-        self._shared = SharedUpdateReader(shared_memory, detached_endpoints, attempt_runner.registry)
-        self._batch = PolicyBatch(self.policy, self.actions, self._shared)
-        self._restorer = MessageRestorer(write_ahead_log, recorder.notifier)
 
     # Events. Each is reported in one batch.
 
--- a/ashpath/server/runtime.py
+++ b/ashpath/server/runtime.py
@@ -39,7 +39,7 @@
         self.logger = sender.logger
         self.reload_service = ReloadService(reloader, sender.logger)
         # A list, as gevent.pool would import a dozen modules that a sender does not need otherwise.
-        self.greenlets: list[Greenlet[..., None]] = []  # of the services, spawned by `run`
+        self.greenlets: list[Greenlet[..., None]] = []  # of the services
 
     def run(self, pending_hangups: Sequence[int] = ()) -> None:
         """Runs the sender, and returns after the graceful shutdown.
@@ -54,16 +54,8 @@
             self.reload_service.requested.set()  # the file may have changed since it was read
         detached = self.restore()
         retry_local_faults(self.listen, sender.limits.start_retries_s)
-        configuration = sender.running.current
-        sender.gossip.configure(configuration.gossip_listen, configuration.gossip_peers)
-        for service in self.services():
-            greenlet = gevent.spawn(supervise, service, sender.limits.retry_s, sender.logger)
-            self.greenlets.append(greenlet)
-        # The garbage collector was disabled for the start, see `ashpath/__main__.py`. Later collections do
-        # not traverse the frozen objects.
-        gc.collect()
-        gc.freeze()
-        gc.enable()
+        self.start_services()
+        enable_garbage_collector()
         self.logger.info(
             "ready",
             messages=len(sender.delivery.policy_runner.messages),
@@ -92,6 +84,15 @@
         sender.delivery.policy_runner.restore(endpoints, sorted(detached))
         return detached
 
+    def start_services(self) -> None:
+        """Opens the addresses for gossip, if any, and spawns the services."""
+        sender = self.sender
+        configuration = sender.running.current
+        sender.gossip.configure(configuration.gossip_listen, configuration.gossip_peers)
+        for service in self.services():
+            greenlet = gevent.spawn(supervise, service, sender.limits.retry_s, sender.logger)
+            self.greenlets.append(greenlet)
+
     def services(self) -> list[Callable[[], None]]:
         """Returns the services, in the order in which they start. They run concurrently until the process
         ends."""
@@ -116,6 +117,14 @@
         return services
 
 
+def enable_garbage_collector() -> None:
+    """Enables the garbage collector, which was disabled for the start, see `ashpath/__main__.py`. Later
+    collections do not traverse the objects that exist now."""
+    gc.collect()
+    gc.freeze()
+    gc.enable()
+
+
 def supervise(service: Callable[[], None], pause_s: float, logger: Logger) -> None:
     """Runs a service, and restarts it `pause_s` seconds after an unexpected error, which would otherwise end
     that part of the sender for good. Returns when the service returns."""
--- a/ashpath/server/wiring.py
+++ b/ashpath/server/wiring.py
@@ -18,6 +18,7 @@
 from ashpath.server.delivery.attempt_runner import AttemptRunner
 from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
+from ashpath.server.delivery.notifier import Notifier
 from ashpath.server.delivery.outcome_recorder import OutcomeRecorder
 from ashpath.server.delivery.response_classifier import ResponseClassifier
 from ashpath.server.deployment import Deployment
@@ -26,17 +27,17 @@
 from ashpath.server.gossip_link import GossipLink
 from ashpath.server.http.admission import Admission
 from ashpath.server.http.listener import ClientListener
-from ashpath.server.limits.services import ServiceLimits
 from ashpath.server.limits.shutdown import ShutdownLimits
 from ashpath.server.logs import Logger
 from ashpath.server.operator_commands import OperatorCommands
 from ashpath.server.optional_services import GossipService, MetricsService, SenderMetricsSource
-from ashpath.server.policy_runner import PolicyRunner
+from ashpath.server.policy_runner import PolicyRunner, StateFiles
 from ashpath.server.reload import SettingsSwitch
 from ashpath.server.sender import ClientSide, DeliveryPath, ProcessOptions, Sender
 from ashpath.server.shutdown import GracefulShutdown
 from ashpath.server.storage.detached_endpoints import DetachedEndpoints
 from ashpath.server.storage.outage_store import OutageStore
+from ashpath.server.storage.shared_memory import SharedMemory
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 
 
@@ -51,20 +52,45 @@
     Raises `StartupError`, or one of `UNUSABLE_CONFIGURATION_ERRORS` if the state directory, an address or a
     list in the configuration cannot be used.
     """
-    write_ahead_log = state_files.open_write_ahead_log(process_options, configuration.limits.storage, logger)
-    configuration = deployment.restore_traffic_class_ids(
-        configuration,
-        has_live_messages=bool(write_ahead_log.messages.live) or process_options.inherited_socket is not None,
-    )
-    running = RunningConfiguration(configuration)
+    limits = configuration.limits
+    write_ahead_log = state_files.open_write_ahead_log(process_options, limits.storage, logger)
+    configuration = restore_traffic_class_ids(process_options, configuration, deployment, write_ahead_log)
     delivery = create_delivery_path(process_options, configuration, deployment, write_ahead_log, logger)
     clients = create_client_side(process_options, configuration, deployment, delivery, logger)
     delivery.registry.apply_members(configuration.known_endpoints["members"], complete=True)
-    control = create_control_listener(process_options, configuration, delivery, clients.listener, logger)
+    sender = create_services(process_options, configuration, deployment, delivery, clients, logger)
+    has_other_process = process_options.inherited_socket is not None
+    sender.metrics.start(configuration.metrics_listen, other_process=has_other_process)
+    return sender
+
+
+def restore_traffic_class_ids(
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    deployment: Deployment,
+    write_ahead_log: WriteAheadLog,
+) -> SenderConfiguration:
+    """Returns the configuration with the traffic class ids of the messages in the write-ahead log, and of
+    those that another process of a hot upgrade may have."""
+    has_live_messages = bool(write_ahead_log.messages.live) or process_options.inherited_socket is not None
+    return deployment.restore_traffic_class_ids(configuration, has_live_messages=has_live_messages)
+
+
+def create_services(
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    deployment: Deployment,
+    delivery: DeliveryPath,
+    clients: ClientSide,
+    logger: Logger,
+) -> Sender:
+    """Creates the parts that work beside the path of a message, and returns the sender with all parts."""
+    running = RunningConfiguration(configuration)
+    control = create_control_listener(process_options, configuration, delivery, clients, logger)
     discovery = create_discovery_client(process_options, configuration, delivery.membership, logger)
     gossip = GossipService(delivery.policy_runner, delivery.gossip_link, logger)
     metrics = create_metrics_service(running, delivery, clients, discovery, gossip)
-    metrics.start(configuration.metrics_listen, other_process=process_options.inherited_socket is not None)
+    switch = create_settings_switch(running, deployment, delivery, clients, gossip, metrics, logger)
     return Sender(
         process_options=process_options,
         running=running,
@@ -74,14 +100,10 @@
         clients=clients,
         control=control,
         discovery=discovery,
-        orphan_adopter=create_orphan_adopter(
-            process_options, configuration.limits.services, delivery, logger
-        ),
+        orphan_adopter=create_orphan_adopter(process_options, configuration, delivery, logger),
         gossip=gossip,
         metrics=metrics,
-        settings_switch=create_settings_switch(
-            running, deployment, delivery, clients, gossip, metrics, logger
-        ),
+        settings_switch=switch,
         shutdown=create_shutdown(configuration.limits.shutdown, delivery, clients, logger),
     )
 
@@ -94,42 +116,72 @@
     logger: Logger,
 ) -> DeliveryPath:
     """Creates the parts that deliver messages. Also opens the remaining files of the state directory."""
-    limits = configuration.limits
-    settings = configuration.settings
     shared_memory = state_files.open_shared_memory(process_options, logger)
-    outcome_store = deployment.create_outcome_store(limits.storage, logger)
-    backoff = create_notifier_backoff(process_options, configuration)
-    notifier = deployment.create_notifier(limits, write_ahead_log, backoff, logger)
-    pool = ConnectionPool(limits.endpoints, limits.http)
-    registry = EndpointRegistry(settings.kinds, settings.zones, pool, logger)
+    outcome_store = deployment.create_outcome_store(configuration.limits.storage, logger)
+    notifier = create_notifier(process_options, configuration, deployment, write_ahead_log, logger)
+    attempt_runner = create_attempt_runner(configuration, notifier, logger)
     recorder = OutcomeRecorder(write_ahead_log, notifier, outcome_store)
-    attempt_runner = AttemptRunner(pool, registry, create_classifier(settings), notifier, logger)
     gossip_link = GossipLink()
-    detached_endpoints = DetachedEndpoints(process_options.state_directory, logger)
-    policy_runner = PolicyRunner(
-        settings.policy_settings,
-        write_ahead_log,
-        recorder,
-        attempt_runner,
-        shared_memory,
-        detached_endpoints,
-        OutageStore(process_options.state_directory, logger),
-        gossip_link,
-        limits.services,
-        logger,
-    )
+    files = open_policy_files(process_options, write_ahead_log, shared_memory, logger)
+    policy_runner = create_policy_runner(configuration, files, recorder, attempt_runner, gossip_link, logger)
     return DeliveryPath(
         write_ahead_log=write_ahead_log,
         outcome_store=outcome_store,
         notifier=notifier,
-        pool=pool,
-        registry=registry,
+        pool=attempt_runner.pool,
+        registry=attempt_runner.registry,
         recorder=recorder,
         attempt_runner=attempt_runner,
         policy_runner=policy_runner,
-        membership=EndpointMembership(registry, policy_runner),
+        membership=EndpointMembership(attempt_runner.registry, policy_runner),
         gossip_link=gossip_link,
-        detached_endpoints=detached_endpoints,
+        detached_endpoints=files.detached_endpoints,
+    )
+
+
+def create_attempt_runner(
+    configuration: SenderConfiguration, notifier: Notifier, logger: Logger
+) -> AttemptRunner:
+    """Creates the runner of attempts, with the connections and the registry of endpoints."""
+    settings = configuration.settings
+    pool = ConnectionPool(configuration.limits.endpoints, configuration.limits.http)
+    registry = EndpointRegistry(settings.kinds, settings.zones, pool, logger)
+    return AttemptRunner(pool, registry, create_classifier(settings), notifier, logger)
+
+
+def open_policy_files(
+    process_options: ProcessOptions,
+    write_ahead_log: WriteAheadLog,
+    shared_memory: SharedMemory,
+    logger: Logger,
+) -> StateFiles:
+    """Opens the remaining files of the policy runner. Files that cannot be read are logged."""
+    directory = process_options.state_directory
+    return StateFiles(
+        write_ahead_log=write_ahead_log,
+        shared_memory=shared_memory,
+        detached_endpoints=DetachedEndpoints(directory, logger),
+        outage_store=OutageStore(directory, logger),
+    )
+
+
+def create_policy_runner(
+    configuration: SenderConfiguration,
+    files: StateFiles,
+    recorder: OutcomeRecorder,
+    attempt_runner: AttemptRunner,
+    gossip_link: GossipLink,
+    logger: Logger,
+) -> PolicyRunner:
+    """Creates the runner of the policy. Nothing is restored yet."""
+    return PolicyRunner(
+        configuration.policy_settings,
+        files,
+        recorder,
+        attempt_runner,
+        gossip_link,
+        configuration.limits.services,
+        logger,
     )
 
 
@@ -139,11 +191,18 @@
     return ResponseClassifier(has_load_reports=load_report_fields(settings.document) is not None)
 
 
-def create_notifier_backoff(process_options: ProcessOptions, configuration: SenderConfiguration) -> Backoff:
-    """Creates the backoff for failed notifications."""
+def create_notifier(
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    deployment: Deployment,
+    write_ahead_log: WriteAheadLog,
+    logger: Logger,
+) -> Notifier:
+    """Creates the notifier, with the backoff for failed notifications."""
     limits = configuration.limits
-    chance = Random(f"{random_seed(process_options, configuration)}/n")
-    return Backoff(chance, limits.services.retry_s, limits.notifications.notification_backoff_s)
+    random = Random(f"{random_seed(process_options, configuration)}/n")
+    backoff = Backoff(random, limits.services.retry_s, limits.notifications.notification_backoff_s)
+    return deployment.create_notifier(limits, write_ahead_log, backoff, logger)
 
 
 def random_seed(process_options: ProcessOptions, configuration: SenderConfiguration) -> str:
@@ -186,7 +245,7 @@
     process_options: ProcessOptions,
     configuration: SenderConfiguration,
     delivery: DeliveryPath,
-    listener: ClientListener,
+    clients: ClientSide,
     logger: Logger,
 ) -> ControlListener | None:
     """Creates the listener for operators' commands, or returns None if no address is configured.
@@ -196,7 +255,7 @@
     if not address:
         return None
     commands = OperatorCommands(
-        delivery.policy_runner, delivery.registry, listener, delivery.detached_endpoints
+        delivery.policy_runner, delivery.registry, clients.listener, delivery.detached_endpoints
     )
     limits = configuration.limits
     return ControlListener(
@@ -237,12 +296,16 @@
 
 
 def create_orphan_adopter(
-    process_options: ProcessOptions, limits: ServiceLimits, delivery: DeliveryPath, logger: Logger
+    process_options: ProcessOptions,
+    configuration: SenderConfiguration,
+    delivery: DeliveryPath,
+    logger: Logger,
 ) -> OrphanAdopter | None:
     """Creates the adopter of orphaned logs, or returns None if no other process of this sender can exist."""
     if process_options.inherited_socket is None:
         return None
-    return OrphanAdopter(delivery.write_ahead_log, delivery.policy_runner, limits.adoption_interval_s, logger)
+    interval_s = configuration.limits.services.adoption_interval_s
+    return OrphanAdopter(delivery.write_ahead_log, delivery.policy_runner, interval_s, logger)
 
 
 def create_metrics_service(
