--- a/ashpath/emulator/soak/sender.py
+++ b/ashpath/emulator/soak/sender.py
@@ -25,7 +25,7 @@
 from ashpath.emulator.stand_ins import LOOPBACK, free_port
 from ashpath.server import wire_names
 from ashpath.server.addresses import Address
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.http import HttpLimits
 
 LAUNCHER = "ashpath.emulator.fault_injection.launcher"
 READY_POLL_S = 0.02
@@ -83,7 +83,7 @@
         agent_addresses: list[str],
         options: SenderOptions,
         records: SoakRecords,
-        limits: ServerLimits,
+        limits: HttpLimits,
     ) -> None:
         self.number = number
         self.address = (LOOPBACK, port)
--- a/ashpath/server/control/listener.py
+++ b/ashpath/server/control/listener.py
@@ -1,8 +1,8 @@
 """Accepts operators' connections at the control address.
 
-Each connection has a greenlet and a time limit of its own (`ServerLimits.control_timeout_s`): an operator
+Each connection has a greenlet and a time limit of its own (`ControlLimits.control_timeout_s`): an operator
 that stays connected and sends nothing, or an incomplete line, delays no other operator. At
-`ServerLimits.control_connections` open connections, the longest silent one without unread bytes is evicted
+`ControlLimits.control_connections` open connections, the longest silent one without unread bytes is evicted
 for the next: silent connections block no operator, and their descriptors are limited to that number. The
 `CommandHandler` implements the commands.
 """
@@ -18,7 +18,7 @@
 from ashpath.server.control.commands import CommandHandler
 from ashpath.server.control.connection import ControlConnection
 from ashpath.server.control.connection_table import ControlConnectionTable
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.control import ControlLimits
 from ashpath.server.local_errors import is_closed
 from ashpath.server.logs import Logger
 
@@ -34,12 +34,14 @@
     def __init__(
         self,
         address: Address,
-        limits: ServerLimits,
+        limits: ControlLimits,
+        write_timeout_s: float,
         handler: CommandHandler,
         logger: Logger,
     ) -> None:
         self.address = address
         self.limits = limits
+        self.write_timeout_s = write_timeout_s  # of an answer
         self.handler = handler
         self.logger = logger
         self.table = ControlConnectionTable(limits.control_connections)
@@ -65,7 +67,9 @@
                 if not self.table.evict_silent():
                     gevent.sleep(0)  # all have unread input, and are served now
             self.table.add(accepted)
-            connection = ControlConnection(accepted, self.table, self.limits, self.handler, self.logger)
+            connection = ControlConnection(
+                accepted, self.table, self.limits, self.write_timeout_s, self.handler, self.logger
+            )
             gevent.spawn(connection.serve)
             gevent.sleep(0)
 
--- a/tests/emulator/destination/test_destination_server.py
+++ b/tests/emulator/destination/test_destination_server.py
@@ -20,7 +20,7 @@
 from ashpath.emulator.destination.properties import DestinationProperties
 from ashpath.emulator.destination.server import DestinationServer
 from ashpath.emulator.run_clock import RunClock
-from ashpath.emulator.stand_ins import stand_in_limits
+from ashpath.emulator.stand_ins import STAND_IN_LIMITS
 from ashpath.server import wire_names
 
 # Microseconds.
@@ -63,8 +63,7 @@
     properties = DestinationProperties(workers=1, service_times=(service_time,), service_time_sigma=0)
     model = DestinationModel(properties, Random(1), ["e"])
     calls = RecordedCalls()
-    limits = stand_in_limits(descriptors=64, timeout_s=10.0)
-    server = DestinationServer(model, "e", limits, RunClock(), calls, latency=lambda: latency)
+    server = DestinationServer(model, "e", STAND_IN_LIMITS, RunClock(), calls, latency=lambda: latency)
     try:
         host, port = server.address.split(":")
         with socket.create_connection((host, int(port))) as caller:
--- a/tests/emulator/fault_injection/test_path_faults.py
+++ b/tests/emulator/fault_injection/test_path_faults.py
@@ -13,7 +13,7 @@
 from ashpath.emulator.fault_injection.tcp_proxy import FaultProxy, ProxyMode
 from ashpath.emulator.soak.paths import LATE_S, ClientPath, NoticePath
 from ashpath.emulator.soak.records import SoakRecords
-from ashpath.emulator.stand_ins import stand_in_limits
+from ashpath.emulator.stand_ins import STAND_IN_LIMITS
 from ashpath.server.addresses import parse_address
 from ashpath.server.http.connection import open_connection
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
@@ -21,7 +21,6 @@
 FAULT_S = 1.0
 CLIENT_TIMEOUT_S = 0.6
 NO_RESPONSE, CLOSED = 0, -1
-LIMITS = stand_in_limits(descriptors=256, timeout_s=60.0)
 
 
 @pytest.fixture
@@ -39,7 +38,7 @@
 
 def submit(path: ClientPath, message_id: str) -> int:
     """Returns the status of the response, NO_RESPONSE, or CLOSED if the connection ended without one."""
-    connection = open_connection(path.address, LIMITS)
+    connection = open_connection(path.address, STAND_IN_LIMITS)
     try:
         with gevent.Timeout(CLIENT_TIMEOUT_S):
             connection.write(request(message_id, "free", "200", 1))
@@ -90,7 +89,7 @@
 
 
 def test_reset_by_sender_reaches_client_through_proxy(world: World, client_path: ClientPath) -> None:
-    connection = open_connection(client_path.address, LIMITS)
+    connection = open_connection(client_path.address, STAND_IN_LIMITS)
     wait_until(lambda: client_path.proxy.accepted[ProxyMode.FORWARD])
     gevent.sleep(0.1)  # the sender accepts the connection, and is then killed with unread bytes in it
     assert world.process is not None
@@ -142,7 +141,7 @@
 def test_proxy_with_first_byte_forwards_and_keeps_other_connections(world: World) -> None:
     world.start()
     proxy = FaultProxy(world.address, first_byte=b"P")
-    spared, failing = (open_connection(parse_address(proxy.address), LIMITS) for _ in range(2))
+    spared, failing = (open_connection(parse_address(proxy.address), STAND_IN_LIMITS) for _ in range(2))
     for connection in (spared, failing):
         connection.write(READINESS_REQUEST if connection is spared else request("m", "free", "200", 1))
         assert connection.read_response().status in {200, 202}
--- a/tests/emulator/fault_injection/test_sender_options.py
+++ b/tests/emulator/fault_injection/test_sender_options.py
@@ -21,9 +21,7 @@
 from ashpath.emulator.soak.records import SoakRecords
 from ashpath.emulator.soak.sender import SenderOptions, SoakSender
 from ashpath.emulator.soak.settings import soak_settings
-from ashpath.emulator.stand_ins import free_port, stand_in_limits
-
-LIMITS = stand_in_limits(descriptors=4096, timeout_s=60.0)
+from ashpath.emulator.stand_ins import STAND_IN_LIMITS, free_port
 
 
 @pytest.fixture
@@ -33,9 +31,17 @@
 
 @contextmanager
 def started_sender(folder: Path, options: SenderOptions, records: SoakRecords) -> Iterator[SoakSender]:
-    agent = DiscoveryAgent([], LIMITS)
+    agent = DiscoveryAgent([], STAND_IN_LIMITS)
     sender = SoakSender(
-        0, free_port(), folder / "n0", soak_settings(), [agent], [agent.address], options, records, LIMITS
+        0,
+        free_port(),
+        folder / "n0",
+        soak_settings(),
+        [agent],
+        [agent.address],
+        options,
+        records,
+        STAND_IN_LIMITS,
     )
     sender.start()
     wait_until(lambda: records.incarnations[0].ready_at)
@@ -67,7 +73,7 @@
     soft_limit, _ = resource.prlimit(crowded_sender.process_id, resource.RLIMIT_NOFILE)
     assert soft_limit == FEW_DESCRIPTORS
     before = descriptor_count(crowded_sender)
-    clients = SoakClients(0, crowded_sender.address, 20.0, 1, records, Random(1), LIMITS)
+    clients = SoakClients(0, crowded_sender.address, 20.0, 1, records, Random(1), STAND_IN_LIMITS)
     crowd = gevent.spawn(clients.crowd, CROWDING_CLIENTS)
     wait_until(lambda: descriptor_count(crowded_sender) >= before + 20)
     requests = gevent.spawn(clients.run)
@@ -81,7 +87,7 @@
     upgraded_sender: SoakSender, records: SoakRecords, how: StopMethod
 ) -> None:
     """Requests are answered before and after it, and the records tell what happened to both processes."""
-    clients = SoakClients(0, upgraded_sender.address, 40.0, 1, records, Random(1), LIMITS)
+    clients = SoakClients(0, upgraded_sender.address, 40.0, 1, records, Random(1), STAND_IN_LIMITS)
     requests = gevent.spawn(clients.run)
     wait_until(lambda: any(one.status == 503 for one in records.submissions.values()))
     old_process_id = upgraded_sender.process_id
--- a/tests/emulator/test_sender_process.py
+++ b/tests/emulator/test_sender_process.py
@@ -33,7 +33,7 @@
     """Two scripted kills may overlap: the second start would leave the first process without an owner."""
     monkeypatch.setattr(RecordedProcess, "started", 0)
     monkeypatch.setattr("ashpath.emulator.sender_process.subprocess.Popen", RecordedProcess)
-    sender = SenderProcess(tmp_path / "sender.toml", tmp_path / "log", ("127.0.0.1", 1), LIMITS)
+    sender = SenderProcess(tmp_path / "sender.toml", tmp_path / "log", ("127.0.0.1", 1), LIMITS.http)
     sender.start()
     sender.start()
     assert RecordedProcess.started == 1
--- a/tests/server/test_message_restoration.py
+++ b/tests/server/test_message_restoration.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def write_ahead_log(tmp_path: Path) -> WriteAheadLog:
-    return WriteAheadLog(tmp_path, LIMITS.disk_bytes)
+    return WriteAheadLog(tmp_path, LIMITS.storage.disk_bytes)
 
 
 def store_message(write_ahead_log: WriteAheadLog, message_id: int, time_left: int = SECOND) -> StoredMessage:
--- a/tests/server/test_restart.py
+++ b/tests/server/test_restart.py
@@ -84,7 +84,7 @@
 def test_overdue_messages_are_finished_after_a_kill(world: World) -> None:
     """The restart finds a deduplication window and deadlines that have passed, and a notification that was
     not acknowledged. The sender makes no attempt."""
-    write_ahead_log = WriteAheadLog(world.folder / "state", LIMITS.disk_bytes)
+    write_ahead_log = WriteAheadLog(world.folder / "state", LIMITS.storage.disk_bytes)
     attempted_at = stored_time() - 20_000_000
     # The traffic class, the time left in microseconds, and whether an attempt was made.
     cases = [(1, 5_000_000, True), (0, -10, False), (1, -10, True), (0, 9, False)]
@@ -178,7 +178,7 @@
     the disk fails while it opens the logs."""
     world.start()
     world.kill()
-    left = WriteAheadLog(world.folder / "left", LIMITS.disk_bytes)
+    left = WriteAheadLog(world.folder / "left", LIMITS.storage.disk_bytes)
     assert left.record_submitted(
         StoredMessage(1, "left", 0, 1, None, None, stored_time() + 30_000_000, b"200")
     )
--- a/tests/support/server.py
+++ b/tests/support/server.py
@@ -24,7 +24,7 @@
     copy = world.folder / f"copy{len(list(world.folder.iterdir()))}"
     copy.mkdir()
     (copy / "journal").write_bytes((world.folder / "state" / "journal").read_bytes())
-    write_ahead_log = WriteAheadLog(copy, LIMITS.disk_bytes)
+    write_ahead_log = WriteAheadLog(copy, LIMITS.storage.disk_bytes)
     write_ahead_log.close()
     return write_ahead_log.messages.live
 
@@ -68,7 +68,7 @@
 
 def serve(listener: ClientListener, server_end: socket.socket) -> gevent.Greenlet[[HttpConnection], None]:
     """Serves one connection in a new greenlet."""
-    return gevent.spawn(listener.serve, HttpConnection(server_end, LIMITS))
+    return gevent.spawn(listener.serve, HttpConnection(server_end, LIMITS.http))
 
 
 READINESS_REQUEST = encode_message(b"GET /health/ready HTTP/1.1", [], b"")
--- a/tests/support/stages.py
+++ b/tests/support/stages.py
@@ -12,13 +12,11 @@
 import pytest
 import structlog
 from gevent import socket
-from msgspec.structs import replace
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.backoff import Backoff
 from ashpath.server.delivery.attempt_runner import AttemptRunner
 from ashpath.server.delivery.attempts import Attempt, AttemptResult
-from ashpath.server.delivery.connection_pool import ConnectionPool
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 from ashpath.server.delivery.http_notifier import HttpNotifier, NotificationReceiver
 from ashpath.server.delivery.outcome_recorder import ACCEPTED, OutcomeRecorder, SubmitResult
@@ -30,14 +28,17 @@
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import now
+from support.limits import connection_pool, limits_with
 from support.world import LIMITS, POLICY_SETTINGS, TRAFFIC_CLASSES, World
 
 
 def unreachable_notifier(write_ahead_log: WriteAheadLog) -> HttpNotifier:
     """Returns a notifier that is never started, so its notifications stay pending."""
     receiver = NotificationReceiver(("127.0.0.1", 1))
-    backoff = Backoff(Random(0), LIMITS.retry_s, LIMITS.notification_backoff_s)
-    return HttpNotifier(receiver, LIMITS, write_ahead_log, structlog.get_logger(), backoff)
+    backoff = Backoff(Random(0), LIMITS.services.retry_s, LIMITS.notifications.notification_backoff_s)
+    return HttpNotifier(
+        receiver, LIMITS.notifications, LIMITS.http, write_ahead_log, structlog.get_logger(), backoff
+    )
 
 
 class RecordingReceiver:
@@ -69,17 +70,18 @@
 
 def client_listener(folder: Path, max_bytes: int = 1 << 20, **limits: float) -> ListenerStages:
     """Returns a listener for destination 1, not bound to a socket. `limits` replace the defaults."""
-    server_limits = replace(LIMITS, **limits)
+    server_limits = limits_with(**limits)
     log = WriteAheadLog(folder, max_bytes)
     receiver = RecordingReceiver()
     logger = structlog.get_logger()
-    registry = EndpointRegistry(["plain"], ["here"], ConnectionPool(server_limits), logger)
+    registry = EndpointRegistry(["plain"], ["here"], connection_pool(server_limits), logger)
     registry.apply_members(
         [{"id": "e1", "cell": 1, "phase": "up", "host_port": "127.0.0.1:1"}], complete=True
     )
     class_ids = {name: number for number, name in enumerate(TRAFFIC_CLASSES)}
     admission = Admission(POLICY_SETTINGS, class_ids, registry, receiver, log, logger)
-    return ListenerStages(ClientListener(("127.0.0.1", 1), server_limits, admission, logger), receiver, log)
+    listener = ClientListener(("127.0.0.1", 1), server_limits.clients, server_limits.http, admission, logger)
+    return ListenerStages(listener, receiver, log)
 
 
 class SocketPairConnection(HttpConnection):
@@ -88,7 +90,7 @@
     def __init__(self, sock: socket.socket) -> None:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(socket.socket, "setsockopt", lambda *_: None)
-            super().__init__(sock, LIMITS)
+            super().__init__(sock, LIMITS.http)
 
 
 def read_request(data: bytes) -> HttpRequest:
@@ -103,9 +105,9 @@
 
     def __init__(self, world: World) -> None:
         logger = structlog.get_logger()
-        write_ahead_log = WriteAheadLog(world.folder, LIMITS.disk_bytes)
+        write_ahead_log = WriteAheadLog(world.folder, LIMITS.storage.disk_bytes)
         notifier = unreachable_notifier(write_ahead_log)
-        self.pool = ConnectionPool(LIMITS)
+        self.pool = connection_pool()
         self.registry = EndpointRegistry(["plain"], ["here"], self.pool, logger)
         self.registry.apply_members(world.members, complete=True)
         self.recorder = OutcomeRecorder(write_ahead_log, notifier)
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -26,7 +26,7 @@
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
 from ashpath.server.http.messages import HttpRequest
-from ashpath.server.limits import ServerLimits
+from ashpath.server.limits.server_limits import ServerLimits
 
 PORTS = (10_000, 32_000)
 RANDOM = Random()  # not seeded: concurrent test runs must not draw the same ports
@@ -232,7 +232,7 @@
     def connect(self) -> HttpConnection | None:
         """Returns a client's connection; None if the sender refuses it."""
         try:
-            return HttpConnection(socket.create_connection(self.address), LIMITS)
+            return HttpConnection(socket.create_connection(self.address), LIMITS.http)
         except OSError:
             return None
 
@@ -265,7 +265,7 @@
 
     def serve_endpoint(self, sock: socket.socket, _: object) -> None:
         """Serves a connection of the sender to an endpoint."""
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         try:
             while self.respond(connection, connection.read_request()):
                 pass
@@ -295,7 +295,7 @@
 
     def serve_platform(self, sock: socket.socket, _: object) -> None:
         """Serves a connection of the sender to an agent: notifications and polls of the endpoint list."""
-        connection = HttpConnection(sock, LIMITS)
+        connection = HttpConnection(sock, LIMITS.http)
         try:
             while call := connection.read_request():
                 if call.method == b"POST":
