--- a/ashpath/server/agent_client.py
+++ b/ashpath/server/agent_client.py
@@ -45,13 +45,18 @@
     def call(
         self, request_line: bytes, body: bytes, timeout_s: float, headers: Headers = ()
     ) -> HttpResponse | None:
-        """Returns the response, or None if no readable response arrived within `timeout_s` seconds."""
+        """Returns the response, or None if no readable response arrived within `timeout_s` seconds.
+
+        Closes the connection after every failure, also if an unexpected error is raised."""
         try:
             with Timeout(timeout_s):
                 response = self.exchange(request_line, body, headers)
         except (OSError, ConnectionClosedError, ProtocolError, Timeout):
             self.close()
             return None
+        except BaseException:
+            self.close()  # a response may be partly read
+            raise
         if not response.keep_alive:
             self.close()
         return response
--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -207,7 +207,8 @@
         request_line = b"GET %s%s HTTP/1.1" % (wire_names.ENDPOINT_LIST_PATH, query)
         poll = Poll(self.connection, self.moves, self.lists_read)
         gevent.spawn(self.run_poll, poll, request_line)
-        if poll.ended.wait(timeout_s):
+        poll.ended.wait(timeout_s)
+        if poll.ended.is_set():  # `wait` returns False if the poll ends just as its time does
             return poll.response
         if len(self.late_polls) < MAX_LATE_POLLS:
             poll.late = True
@@ -218,13 +219,25 @@
         return None
 
     def run_poll(self, poll: Poll, request_line: bytes) -> None:
-        """Calls the agent for a poll, and applies its response if the poll is late."""
-        poll.response = poll.connection.call(request_line, b"", self.limits.late_poll_s)
-        poll.ended.set()
-        if poll.late:
-            self.late_polls.remove(poll)
-            poll.connection.close()
-            self.apply_late_list(poll)
+        """Calls the agent for a poll, and applies its response if the poll is late.
+
+        An unexpected error ends only this poll, which then counts as a poll without a response."""
+        try:
+            self.call_agent(poll, request_line)
+            if poll.late:
+                self.apply_late_list(poll)
+        except Exception:
+            self.logger.exception("unexpected error")
+
+    def call_agent(self, poll: Poll, request_line: bytes) -> None:
+        """Calls the agent for a poll, and releases what the poll holds, however the call ends."""
+        try:
+            poll.response = poll.connection.call(request_line, b"", self.limits.late_poll_s)
+        finally:
+            if poll.late:
+                self.late_polls.remove(poll)
+                poll.connection.close()
+            poll.ended.set()
 
     def apply_late_list(self, poll: Poll) -> None:
         """Applies the list of a late poll, unless another list was read or the agent moved since it began."""
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -12,6 +12,7 @@
 import gevent
 import pytest
 from gevent import socket
+from gevent.event import Event
 from gevent.server import StreamServer
 from msgspec.structs import replace
 from support.server import LOG, address_of
@@ -331,3 +332,128 @@
         first_pauses.append(pauses[0])
     largest_group = max(sum(at <= other < at + 0.1 for other in first_pauses) for at in first_pauses)
     assert largest_group < 100 / 6, "too many senders would poll at the same time"
+
+
+# Polls that end in an unexpected error
+
+
+class UnexpectedError(Exception):
+    """An error that the client does not expect of a call."""
+
+
+def fail_first_response(monkeypatch: pytest.MonkeyPatch, released: Event) -> list[HttpConnection]:
+    """Makes the first read of a response raise UnexpectedError once `released` is set. Returns the list to
+    which the connection of that read is added."""
+    failed: list[HttpConnection] = []
+    read_response = HttpConnection.read_response
+
+    def fail_once(connection: HttpConnection) -> HttpResponse:
+        if failed:
+            return read_response(connection)
+        failed.append(connection)
+        released.wait()
+        raise UnexpectedError
+
+    monkeypatch.setattr(HttpConnection, "read_response", fail_once)
+    return failed
+
+
+def test_unexpected_error_ends_poll_and_next_poll_follows(
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The client does not wait for the rest of the poll's time, and logs the error once."""
+    agent = ScriptedAgent(world, [{"members": [ROW]}, {"members": [ROW]}, "hold"])
+    listener, logger, released = RecordingListener(), Mock(), Event()
+    released.set()
+    failed = fail_first_response(monkeypatch, released)
+    client = DiscoveryClient(agent.address, LIMITS, 5, listener, Random(1), logger)
+    began = monotonic()
+    running = gevent.spawn(client.run)
+    wait_until(lambda: listener.rows)
+    assert monotonic() - began < LIMITS.watch_s
+    assert failed[0].unusable
+    assert client.late_polls == []
+    assert logger.exception.call_count == 1
+    running.kill()
+
+
+def test_unexpected_error_of_late_poll_releases_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    agent = ScriptedAgent(world, ["hold", {"members": [ROW]}, "hold"])
+    listener, logger, released = RecordingListener(), Mock(), Event()
+    failed = fail_first_response(monkeypatch, released)
+    limits = replace(LIMITS, watch_s=0.05, watch_grace_s=0.0, retry_s=0.01)
+    client = DiscoveryClient(agent.address, limits, 5, listener, Random(1), logger)
+    running = gevent.spawn(client.run)
+    wait_until(lambda: client.late_polls)
+    late_poll = client.late_polls[0]
+    released.set()
+    wait_until(lambda: late_poll not in client.late_polls)
+    assert late_poll.ended.is_set()
+    assert failed[0].unusable
+    assert logger.exception.call_count == 1
+    wait_until(lambda: listener.rows)
+    running.kill()
+
+
+def test_unexpected_error_in_late_list_is_logged_once(world: World) -> None:
+    """The rows of a list may have been applied in part, so the next poll is for a snapshot."""
+    released = Event()
+    logger = Mock()
+
+    class FailingListener(RecordingListener):
+        def receive_members(self, members: list[EndpointRow], *, complete: bool) -> bool:
+            super().receive_members(members, complete=complete)
+            if len(self.reports) == 1:
+                raise UnexpectedError
+            return True
+
+    def answer_late(sock: socket.socket, _: object) -> None:
+        HttpConnection(sock, LIMITS).read_request()
+        world.servers[1].set_handle(held_agent.serve)
+        released.wait()
+        sock.sendall(endpoint_list(revision=9, members=[ROW]))
+
+    held_agent = ScriptedAgent(world, ["hold", "hold", "hold"])
+    world.servers[1].set_handle(answer_late)
+    listener = FailingListener()
+    client = DiscoveryClient(held_agent.address, LIMITS, 5, listener, Random(1), logger)
+    response = gevent.spawn(client.poll, 0.05)
+    wait_until(lambda: client.late_polls)
+    late_poll = client.late_polls[0]
+    released.set()
+    wait_until(late_poll.ended.is_set)
+    wait_until(lambda: logger.exception.call_count == 1)
+    assert response.get() is None
+    assert listener.reports == [(1, True)]
+    assert client.revision is None
+    assert client.late_polls == []
+    assert late_poll.connection.connection is None
+
+
+class EventSetAtTimeout:
+    """An event that is set at the moment at which the wait for it times out."""
+
+    def __init__(self) -> None:
+        self.event = Event()
+
+    def set(self) -> None:
+        self.event.set()
+
+    def is_set(self) -> bool:
+        return self.event.is_set()
+
+    def wait(self, _: float) -> bool:
+        self.event.wait()
+        return False
+
+
+def test_poll_that_ends_as_its_time_does_is_not_late(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("ashpath.server.discovery.client.Event", EventSetAtTimeout)
+    agent = ScriptedAgent(world, [{"revision": 9, "members": [ROW]}])
+    client = DiscoveryClient(agent.address, LIMITS, 5, RecordingListener(), Random(1), LOG)
+    connection = client.connection
+    response = client.poll(1.0)
+    assert response is not None
+    assert response.status == 200
+    assert client.late_polls == []
+    assert client.connection is connection
--- a/tests/server/test_agent_client.py
+++ b/tests/server/test_agent_client.py
@@ -9,6 +9,7 @@
 
 from ashpath.server.addresses import Address
 from ashpath.server.agent_client import AgentConnection
+from ashpath.server.http.connection import HttpConnection
 
 POLL = b"GET /registry/instances HTTP/1.1"
 CHUNKED = b"HTTP/1.1 200 X\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
@@ -40,3 +41,22 @@
     assert response.body == b"abc"
     assert agent.connection is not None
     agent.close()
+
+
+def test_unexpected_error_closes_the_connection(
+    world: World, address: Address, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A response that was read in part must not precede the response to the next call."""
+    agent = AgentConnection(address, LIMITS)
+    world.servers[1].set_handle(lambda sock, _: sock.sendall(CHUNKED))
+    opened: list[HttpConnection] = []
+
+    def fail(connection: HttpConnection) -> None:
+        opened.append(connection)
+        raise ArithmeticError
+
+    monkeypatch.setattr(HttpConnection, "finish_response", fail)
+    with pytest.raises(ArithmeticError):
+        agent.call(POLL, b"", 9)
+    assert agent.connection is None
+    assert opened[0].unusable
