--- a/ashpath/server/local_errors.py
+++ b/ashpath/server/local_errors.py
@@ -7,12 +7,22 @@
 | no route, or the network is down | a fault of this machine, as long as no other dial succeeds |
 | not a descriptor, not a socket, no reader | an unusable descriptor |
 | any other | a fault of the far end |
+
+A datagram socket has no far end of its own, so its errors have a table of their own, `DatagramFault`:
+
+| errno of a receive | errno of a send | classified as |
+| --- | --- | --- |
+| no memory or buffer, an interrupted or busy call | the same, and a full send buffer | `LOCAL` |
+| an error that the network reported | any other: no route, a rejected packet, | `PEER` |
+| for an earlier datagram | an address that this socket cannot reach | |
+| any other | not a descriptor, not a socket, shut down | `SOCKET_LOST` |
 """
 
 from __future__ import annotations
 
 import errno
 from collections.abc import Callable
+from enum import Enum
 from time import monotonic
 from typing import TypeVar
 
@@ -34,6 +44,33 @@
 )
 NO_ROUTE_ERRNOS = frozenset({errno.ENETUNREACH, errno.ENETDOWN})
 CLOSED_ERRNOS = frozenset({errno.EBADF, errno.ENOTSOCK, errno.EPIPE, errno.EINVAL})
+REPORTED_ERRNOS = frozenset(  # the kernel returns them once for each error message of the network
+    {
+        errno.ECONNREFUSED,
+        errno.ECONNRESET,
+        errno.EHOSTDOWN,
+        errno.EHOSTUNREACH,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.ENONET,
+        errno.ENOPROTOOPT,
+        errno.EOPNOTSUPP,
+        errno.EPROTO,
+        errno.EACCES,
+        errno.EPERM,
+        errno.EMSGSIZE,
+        errno.ETIMEDOUT,
+    }
+)
+UNSENDABLE_ERRNOS = frozenset({errno.EBADF, errno.ENOTSOCK, errno.EPIPE})  # not EINVAL: an unusable address
+
+
+class DatagramFault(Enum):
+    """The cause of a failed call on a datagram socket, and thereby what its caller does next."""
+
+    LOCAL = "a limit of this machine: the next call may succeed after a pause"
+    PEER = "one peer, or the way to it: calls for other peers are unaffected"
+    SOCKET_LOST = "the socket: every further call on it fails"
 
 
 def is_local_fault(error: OSError) -> bool:
@@ -57,6 +94,29 @@
     return isinstance(error, BrokenPipeError) or error.errno in CLOSED_ERRNOS
 
 
+def receive_fault(error: OSError) -> DatagramFault:
+    """Returns the cause of a failed receive on a datagram socket.
+
+    >>> numbers = (errno.ENOMEM, errno.ECONNREFUSED, errno.EBADF)
+    >>> [receive_fault(OSError(number, "")).name for number in numbers]
+    ['LOCAL', 'PEER', 'SOCKET_LOST']
+    """
+    if is_local_fault(error):
+        return DatagramFault.LOCAL
+    return DatagramFault.PEER if error.errno in REPORTED_ERRNOS else DatagramFault.SOCKET_LOST
+
+
+def send_fault(error: OSError) -> DatagramFault:
+    """Returns the cause of a failed send on a datagram socket.
+
+    >>> [send_fault(OSError(number, "")).name for number in (errno.ENOBUFS, errno.EINVAL, errno.EBADF)]
+    ['LOCAL', 'PEER', 'SOCKET_LOST']
+    """
+    if is_local_fault(error):
+        return DatagramFault.LOCAL
+    return DatagramFault.SOCKET_LOST if error.errno in UNSENDABLE_ERRNOS else DatagramFault.PEER
+
+
 def retry_local_faults(call: Callable[[], Result], max_duration_s: float) -> Result:
     """Returns the result of `call`, which is retried after local faults for up to `max_duration_s` seconds.
 
