--- a/tests/cli/test_standalone.py
+++ b/tests/cli/test_standalone.py
@@ -11,8 +11,8 @@
 import orjson
 import pytest
 from gevent.subprocess import PIPE
+from support.sender_harness import wait_until
 from support.standalone import RULES, TRACKS, StandaloneSender
-from support.world import wait_until
 
 from ashpath.server.storage.errors import StateDirectoryError
 from ashpath.server.storage.record_codec import MessageSubmitted, RecordReader, encode_fields
--- a/tests/cli/test_status_commands.py
+++ b/tests/cli/test_status_commands.py
@@ -4,8 +4,8 @@
 
 import orjson
 import pytest
+from support.sender_harness import wait_until
 from support.standalone import StandaloneSender
-from support.world import wait_until
 
 
 @pytest.fixture
--- a/tests/config/test_reference.py
+++ b/tests/config/test_reference.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 from ashpath.config.reference import markdown_page, terminal_lines
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 from gevent import socket
 from support.known_failures import mark_known_failures, read_known_failures
-from support.world import World, free_address
+from support.sender_harness import SenderHarness, free_address
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
@@ -20,21 +20,21 @@
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
-    made = World(tmp_path)
+def harness(tmp_path: Path) -> Iterator[SenderHarness]:
+    made = SenderHarness(tmp_path)
     yield made
     made.stop()
 
 
 @pytest.fixture
-def pair(tmp_path: Path) -> Iterator[tuple[World, World]]:
+def pair(tmp_path: Path) -> Iterator[tuple[SenderHarness, SenderHarness]]:
     """Two processes of one sender on one listening socket; the second is not started yet."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(64)
     os.set_inheritable(listener.fileno(), True)
-    old = World(tmp_path, inherited=listener)
-    new = World.__new__(World)
+    old = SenderHarness(tmp_path, inherited=listener)
+    new = SenderHarness.__new__(SenderHarness)
     new.__dict__.update(old.__dict__)
     new.control_address, new.process = free_address(), None
     try:
--- a/tests/emulator/destination/test_destination_server.py
+++ b/tests/emulator/destination/test_destination_server.py
@@ -12,7 +12,7 @@
 import gevent
 import pytest
 from gevent import socket
-from support.world import wait_until
+from support.sender_harness import wait_until
 
 from ashpath.core.time_units import SECOND
 from ashpath.emulator.destination.calls import DestinationCall
--- a/tests/emulator/fault_injection/test_fault_injection.py
+++ b/tests/emulator/fault_injection/test_fault_injection.py
@@ -11,8 +11,8 @@
 import pytest
 from gevent import socket, subprocess
 from gevent.server import StreamServer
+from support.sender_harness import SenderHarness, wait_until
 from support.server import address_of
-from support.world import World, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import (
     SHORT,
@@ -38,15 +38,15 @@
 ]
 
 
-def test_each_injected_fault_reaches_sender_that_keeps_serving(world: World) -> None:
+def test_each_injected_fault_reaches_sender_that_keeps_serving(harness: SenderHarness) -> None:
     """The sender starts, accepts and delivers messages with the faults of EACH_FAULT in its process."""
     faults = [CallFault(call, error, skip=skip, count=1) for call, error, skip in EACH_FAULT]
-    world.faults = ProcessFaults(tuple(faults))
-    world.start()
+    harness.faults = ProcessFaults(tuple(faults))
+    harness.start()
     for number in range(24):
-        world.submit(f"m{number}", "free", "200", 1)
-    wait_until(lambda: world.attempt_count("m23"))
-    injected = json.loads(report_path(world.folder / "faults").read_text())
+        harness.submit(f"m{number}", "free", "200", 1)
+    wait_until(lambda: harness.attempt_count("m23"))
+    injected = json.loads(report_path(harness.folder / "faults").read_text())
     reached = {key.partition(" ")[0] for key in injected}
     assert {"accept", "connect", "receive", "send", "write"} <= reached
 
--- a/tests/emulator/fault_injection/test_path_faults.py
+++ b/tests/emulator/fault_injection/test_path_faults.py
@@ -7,8 +7,8 @@
 
 import gevent
 import pytest
+from support.sender_harness import PLATFORM, SenderHarness, request, wait_until
 from support.server import READINESS_REQUEST
-from support.world import PLATFORM, World, request, wait_until
 
 from ashpath.emulator.fault_injection.tcp_proxy import FaultProxy, ProxyMode
 from ashpath.emulator.soak.paths import LATE_S, ClientPath, NoticePath
@@ -29,9 +29,9 @@
 
 
 @pytest.fixture
-def client_path(world: World, records: SoakRecords) -> Iterator[ClientPath]:
-    world.start()
-    path = ClientPath(0, world.address, records)
+def client_path(harness: SenderHarness, records: SoakRecords) -> Iterator[ClientPath]:
+    harness.start()
+    path = ClientPath(0, harness.address, records)
     yield path
     path.stop()
 
@@ -62,7 +62,7 @@
     ],
 )
 def test_client_path_fault_reaches_clients_of_real_sender(
-    world: World, client_path: ClientPath, mode: ProxyMode, status: int, is_received: bool
+    harness: SenderHarness, client_path: ClientPath, mode: ProxyMode, status: int, is_received: bool
 ) -> None:
     """`is_received`: whether the sender accepts the request, whatever the client receives."""
     fault = gevent.spawn(client_path.fail, mode, FAULT_S)
@@ -70,8 +70,8 @@
     assert submit(client_path, "during") == status
     fault.get()
     assert submit(client_path, "after") == 202
-    wait_until(lambda: world.attempt_count("after"))
-    assert world.attempt_count("during") == int(is_received)
+    wait_until(lambda: harness.attempt_count("after"))
+    assert harness.attempt_count("during") == int(is_received)
     assert client_path.proxy.accepted[mode] == 1
 
 
@@ -88,25 +88,27 @@
     assert faults[-1].ended_at - faults[0].began_at >= 2 * LATE_S
 
 
-def test_reset_by_sender_reaches_client_through_proxy(world: World, client_path: ClientPath) -> None:
+def test_reset_by_sender_reaches_client_through_proxy(
+    harness: SenderHarness, client_path: ClientPath
+) -> None:
     connection = open_connection(client_path.address, STAND_IN_LIMITS)
     wait_until(lambda: client_path.proxy.accepted[ProxyMode.FORWARD])
     gevent.sleep(0.1)  # the sender accepts the connection, and is then killed with unread bytes in it
-    assert world.process is not None
-    world.process.send_signal(signal.SIGSTOP)  # the bytes stay unread
+    assert harness.process is not None
+    harness.process.send_signal(signal.SIGSTOP)  # the bytes stay unread
     connection.write(b"POST")
     gevent.sleep(0.1)
-    world.kill()
+    harness.kill()
     with pytest.raises(ConnectionResetError):
         connection.receive()
 
 
 @pytest.fixture
-def notice_path(world: World, records: SoakRecords) -> Iterator[NoticePath]:
-    path = NoticePath(0, [f"127.0.0.1:{world.servers[PLATFORM].server_port}"], records)
-    world.config["discovery"] = path.addresses[0]
-    world.configure()
-    world.start()
+def notice_path(harness: SenderHarness, records: SoakRecords) -> Iterator[NoticePath]:
+    path = NoticePath(0, [f"127.0.0.1:{harness.servers[PLATFORM].server_port}"], records)
+    harness.config["discovery"] = path.addresses[0]
+    harness.configure()
+    harness.start()
     yield path
     path.stop()
 
@@ -121,26 +123,26 @@
     ],
 )
 def test_notice_that_proxy_cuts_is_sent_again(
-    world: World, records: SoakRecords, notice_path: NoticePath, mode: ProxyMode, is_received: bool
+    harness: SenderHarness, records: SoakRecords, notice_path: NoticePath, mode: ProxyMode, is_received: bool
 ) -> None:
     """`is_received`: whether the notice reaches the agent during the fault. Polls pass meanwhile."""
     fault = gevent.spawn(notice_path.fail, mode, 2.0)
     gevent.sleep(0)
-    polls_before = sum(world.poll_counts.values())
-    assert world.submit("cut", "free", "hang", 1, time_left_ms=300) == 202
+    polls_before = sum(harness.poll_counts.values())
+    assert harness.submit("cut", "free", "hang", 1, time_left_ms=300) == 202
     wait_until(lambda: notice_path.proxies[0].accepted[mode])
     fault.get()
-    received_during = len(world.notified("cut"))
+    received_during = len(harness.notified("cut"))
     assert bool(received_during) is is_received
-    assert sum(world.poll_counts.values()) > polls_before
+    assert sum(harness.poll_counts.values()) > polls_before
     is_acknowledged = mode is ProxyMode.LATE
-    wait_until(lambda: is_acknowledged or len(world.notified("cut")) > received_during)
+    wait_until(lambda: is_acknowledged or len(harness.notified("cut")) > received_during)
     assert records.notice_faults[0].cuts_acknowledgements is (mode is ProxyMode.HALF_RESPONSE)
 
 
-def test_proxy_with_first_byte_forwards_and_keeps_other_connections(world: World) -> None:
-    world.start()
-    proxy = FaultProxy(world.address, first_byte=b"P")
+def test_proxy_with_first_byte_forwards_and_keeps_other_connections(harness: SenderHarness) -> None:
+    harness.start()
+    proxy = FaultProxy(harness.address, first_byte=b"P")
     spared, failing = (open_connection(parse_address(proxy.address), STAND_IN_LIMITS) for _ in range(2))
     for connection in (spared, failing):
         connection.write(READINESS_REQUEST if connection is spared else request("m", "free", "200", 1))
--- a/tests/emulator/fault_injection/test_sender_options.py
+++ b/tests/emulator/fault_injection/test_sender_options.py
@@ -12,7 +12,7 @@
 
 import gevent
 import pytest
-from support.world import wait_until
+from support.sender_harness import wait_until
 
 from ashpath.emulator.fault_injection.call_faults import ProcessFaults
 from ashpath.emulator.fault_injection.discovery_agent import DiscoveryAgent
--- a/tests/emulator/loopback/test_loopback_faults.py
+++ b/tests/emulator/loopback/test_loopback_faults.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from random import Random
 
-from support.world import wait_until
+from support.sender_harness import wait_until
 
 from ashpath.config.units import Duration
 from ashpath.emulator.loopback.faults import LoopbackFaults
--- a/tests/emulator/test_sender_process.py
+++ b/tests/emulator/test_sender_process.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from support.world import LIMITS
+from support.sender_harness import LIMITS
 
 from ashpath.emulator.sender_process import SenderProcess
 
--- a/tests/server/control/test_operator_commands.py
+++ b/tests/server/control/test_operator_commands.py
@@ -6,8 +6,8 @@
 
 import pytest
 from gevent import socket
+from support.sender_harness import SenderHarness, wait_until
 from support.server import READINESS_REQUEST
-from support.world import World, wait_until
 
 ANSWERS = [  # a command and the start of its answer
     (b"PING\n", b"OK\n"),
@@ -19,12 +19,12 @@
 
 
 @pytest.fixture
-def started(world: World) -> World:
-    world.start()
-    return world
+def started(harness: SenderHarness) -> SenderHarness:
+    harness.start()
+    return harness
 
 
-def test_commands_are_answered_beside_silent_operators(started: World) -> None:
+def test_commands_are_answered_beside_silent_operators(started: SenderHarness) -> None:
     with (
         socket.create_connection(started.control_address) as half,
         socket.create_connection(started.control_address) as silent,
@@ -37,7 +37,7 @@
         assert silent.recv(100).startswith(b"ERR no whole line")
 
 
-def test_lame_duck_is_not_ready_and_serves_requests(started: World) -> None:
+def test_lame_duck_is_not_ready_and_serves_requests(started: SenderHarness) -> None:
     assert started.response_status(READINESS_REQUEST) == 200
     idle = started.connect()
     assert idle is not None
@@ -50,7 +50,7 @@
     wait_until(lambda: started.response_status(READINESS_REQUEST) == 200)
 
 
-def test_silent_operators_do_not_block_other_operators(started: World) -> None:
+def test_silent_operators_do_not_block_other_operators(started: SenderHarness) -> None:
     """Guards against silent connections that use up the limit: the longest silent ones are evicted."""
     connections = [socket.create_connection(started.control_address) for _ in range(500)]
     connections[0].sendall(b"PI")
@@ -62,7 +62,7 @@
         connection.close()
 
 
-def test_detached_endpoint_stays_detached_after_new_list_and_restart(started: World) -> None:
+def test_detached_endpoint_stays_detached_after_new_list_and_restart(started: SenderHarness) -> None:
     for _ in range(2):  # one ATTACH undoes both
         assert started.operator_command(b"DETACH e5\n").startswith(b"OK")
     assert started.submit("h1", "free", "200", 5, time_left_ms=3000) == 202
--- a/tests/server/delivery/test_attempt_runner.py
+++ b/tests/server/delivery/test_attempt_runner.py
@@ -8,8 +8,8 @@
 import pytest
 from gevent import Timeout, socket
 from support.limits import limits_with
-from support.stages import DeliveryStages
-from support.world import LIMITS, World, wait_until
+from support.sender_harness import LIMITS, SenderHarness, wait_until
+from support.sender_parts import DeliverySetup
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.addresses import Address
@@ -62,7 +62,7 @@
 }
 
 
-def test_malformed_responses_have_expected_outcome_and_connection_reuse(world: World) -> None:
+def test_malformed_responses_have_expected_outcome_and_connection_reuse(harness: SenderHarness) -> None:
     """After a malformed response the request may have run, whatever the status, and its connection is closed.
 
     A reused connection with unread bytes would deliver them as the response to the next request."""
@@ -73,53 +73,55 @@
         connection.write(data)
         connection.receive()  # keeps the connection open until the runner closes it
 
-    world.servers[0].set_handle(serve)
-    stages = DeliveryStages(world)
-    stages.pool.http_limits = limits_with(response_rest_s=0.05).http
+    harness.servers[0].set_handle(serve)
+    delivery_setup = DeliverySetup(harness)
+    delivery_setup.pool.http_limits = limits_with(response_rest_s=0.05).http
     for count, (data, (outcome, kept)) in enumerate(RESPONSES.items(), 1):
-        stages.start("s", b"")
-        wait_until(lambda count=count: len(stages.outcomes) == count)  # type: ignore[misc]  # bound in the loop
-        assert stages.outcomes[-1] is outcome, data
-        wait_until(lambda kept=kept: stages.pool.open == kept)  # type: ignore[misc]  # bound in the loop
-        stages.pool.close_idle("e1")
+        delivery_setup.start("s", b"")
+        wait_until(lambda count=count: len(delivery_setup.outcomes) == count)  # type: ignore[misc]  # bound in the loop
+        assert delivery_setup.outcomes[-1] is outcome, data
+        wait_until(lambda kept=kept: delivery_setup.pool.open == kept)  # type: ignore[misc]  # bound in the loop
+        delivery_setup.pool.close_idle("e1")
 
 
-def test_attempt_invalidated_while_connecting_is_not_sent(world: World) -> None:
+def test_attempt_invalidated_while_connecting_is_not_sent(harness: SenderHarness) -> None:
     """Validity is checked once the connection is established. A drain closes idle connections and ends the
     address of the endpoint, so that the next attempt is not sent."""
-    stages = DeliveryStages(world)
-    stages.start("a", b"200")
-    wait_until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED])
-    stages.invalid.add("b")
-    stages.start("b", b"200")
-    wait_until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED, AttemptOutcome.NOT_SENT])
-    stages.start("c", b"200")
-    wait_until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
-    assert not world.attempt_count("b")
-    assert stages.pool.idle
-    stages.registry.apply_members([{**row, "phase": "draining"} for row in world.members], complete=False)
-    assert not stages.pool.idle
-    assert stages.pool.open == 0
-    stages.start("d", b"200")
-    wait_until(lambda: stages.outcomes[3:] == [AttemptOutcome.NOT_SENT])
-
-
-def test_cancelled_attempt_has_exactly_one_outcome(world: World) -> None:
+    delivery_setup = DeliverySetup(harness)
+    delivery_setup.start("a", b"200")
+    wait_until(lambda: delivery_setup.outcomes == [AttemptOutcome.DELIVERED])
+    delivery_setup.invalid.add("b")
+    delivery_setup.start("b", b"200")
+    wait_until(lambda: delivery_setup.outcomes == [AttemptOutcome.DELIVERED, AttemptOutcome.NOT_SENT])
+    delivery_setup.start("c", b"200")
+    wait_until(lambda: delivery_setup.outcomes[2:] == [AttemptOutcome.DELIVERED])
+    assert not harness.attempt_count("b")
+    assert delivery_setup.pool.idle
+    delivery_setup.registry.apply_members(
+        [{**row, "phase": "draining"} for row in harness.members], complete=False
+    )
+    assert not delivery_setup.pool.idle
+    assert delivery_setup.pool.open == 0
+    delivery_setup.start("d", b"200")
+    wait_until(lambda: delivery_setup.outcomes[3:] == [AttemptOutcome.NOT_SENT])
+
+
+def test_cancelled_attempt_has_exactly_one_outcome(harness: SenderHarness) -> None:
     """An attempt is cancelled before it starts, while it waits for the response, or after it has ended. The
     connection of a cancelled attempt is closed; an attempt that has ended keeps its outcome."""
-    stages = DeliveryStages(world)
-    stages.start("a", b"hang").cancel()
-    wait_until(lambda: stages.outcomes == [AttemptOutcome.CANCELLED])
-    attempt = stages.start("b", b"hang")
-    wait_until(lambda: world.attempt_count("b") > 0)
+    delivery_setup = DeliverySetup(harness)
+    delivery_setup.start("a", b"hang").cancel()
+    wait_until(lambda: delivery_setup.outcomes == [AttemptOutcome.CANCELLED])
+    attempt = delivery_setup.start("b", b"hang")
+    wait_until(lambda: harness.attempt_count("b") > 0)
     attempt.cancel()
-    wait_until(lambda: stages.outcomes == [AttemptOutcome.CANCELLED] * 2)
-    assert not world.attempt_count("a")
-    assert stages.pool.open == 0
-    attempt = stages.start("c", b"200")
-    wait_until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
+    wait_until(lambda: delivery_setup.outcomes == [AttemptOutcome.CANCELLED] * 2)
+    assert not harness.attempt_count("a")
+    assert delivery_setup.pool.open == 0
+    attempt = delivery_setup.start("c", b"200")
+    wait_until(lambda: delivery_setup.outcomes[2:] == [AttemptOutcome.DELIVERED])
     attempt.cancel()
-    assert stages.pool.open == 1
+    assert delivery_setup.pool.open == 1
 
 
 # Exception that interrupts an attempt, and the resulting outcome.
@@ -141,14 +143,14 @@
 @pytest.mark.parametrize("error", INTERRUPTIONS, ids=lambda error: error.__name__)
 @pytest.mark.parametrize("data", BYTES_BEFORE_INTERRUPTION, ids=lambda data: str(data[:40]))
 def test_success_received_before_interruption_counts_as_delivered(
-    world: World, monkeypatch: pytest.MonkeyPatch, error: type[BaseException], data: bytes
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch, error: type[BaseException], data: bytes
 ) -> None:
     """A 200 whose status line is in the socket at the interruption counts as delivered.
 
     If it did not, a delivered message would be retried, or would get a false final state."""
-    stages = DeliveryStages(world)
+    delivery_setup = DeliverySetup(harness)
     connections: list[HttpConnection] = []
-    connect = stages.pool.connect
+    connect = delivery_setup.pool.connect
 
     def record_connection(address: Address) -> HttpConnection:
         connections.append(connect(address))
@@ -167,36 +169,36 @@
         attempt.greenlet.kill(error(), block=False)  # raised before the runner reads these bytes
         gevent.sleep(0.05)
 
-    monkeypatch.setattr(stages.pool, "connect", record_connection)
-    world.servers[0].set_handle(serve)
-    attempt = stages.start("a", b"")
-    wait_until(lambda: bool(stages.outcomes))
-    assert stages.outcomes == [
+    monkeypatch.setattr(delivery_setup.pool, "connect", record_connection)
+    harness.servers[0].set_handle(serve)
+    attempt = delivery_setup.start("a", b"")
+    wait_until(lambda: bool(delivery_setup.outcomes))
+    assert delivery_setup.outcomes == [
         AttemptOutcome.DELIVERED if BYTES_BEFORE_INTERRUPTION[data] else INTERRUPTIONS[error]
     ]
-    assert stages.pool.open == 0
+    assert delivery_setup.pool.open == 0
 
 
 def test_endpoint_moved_while_connecting_gets_no_request(
-    world: World, monkeypatch: pytest.MonkeyPatch
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The endpoint leaves its address, and another endpoint takes it over, while the connection is being
     established. A request written then would reach an endpoint of another destination."""
-    stages = DeliveryStages(world)
-    connect = stages.pool.connect
-    moved = {**world.members[1], "host_port": "127.0.0.1:1"}
-    successor = {**world.members[1], "id": "new", "cell": 9}
+    delivery_setup = DeliverySetup(harness)
+    connect = delivery_setup.pool.connect
+    moved = {**harness.members[1], "host_port": "127.0.0.1:1"}
+    successor = {**harness.members[1], "id": "new", "cell": 9}
 
     def connect_and_move_endpoint(address: Address) -> HttpConnection:
         connection = connect(address)
-        stages.registry.apply_members([moved, successor], complete=False)
+        delivery_setup.registry.apply_members([moved, successor], complete=False)
         return connection
 
-    monkeypatch.setattr(stages.pool, "connect", connect_and_move_endpoint)
-    stages.start("a", b"200")
-    wait_until(lambda: bool(stages.outcomes))
-    assert stages.outcomes == [AttemptOutcome.NOT_SENT]
-    assert not world.attempt_count("a")
+    monkeypatch.setattr(delivery_setup.pool, "connect", connect_and_move_endpoint)
+    delivery_setup.start("a", b"200")
+    wait_until(lambda: bool(delivery_setup.outcomes))
+    assert delivery_setup.outcomes == [AttemptOutcome.NOT_SENT]
+    assert not harness.attempt_count("a")
 
 
 # Errors of a connect, and the outcome: local faults must not count against the endpoint.
@@ -217,38 +219,40 @@
 
 @pytest.mark.parametrize("error", CONNECT_ERRORS, ids=repr)
 def test_connect_error_maps_to_one_outcome(
-    world: World, monkeypatch: pytest.MonkeyPatch, error: Exception
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch, error: Exception
 ) -> None:
     """Any error of a connect ends the attempt with exactly one outcome.
 
     Without an outcome the concurrency slot of the attempt would be lost; a wrong outcome would treat a local
     fault as an outage of the endpoint, or the reverse."""
-    stages = DeliveryStages(world)
+    delivery_setup = DeliverySetup(harness)
 
     def connect(_: Address) -> HttpConnection:
         raise error
 
-    monkeypatch.setattr(stages.pool, "connect", connect)
-    stages.start("a", b"200")
-    wait_until(lambda: bool(stages.outcomes))
-    assert stages.outcomes == [CONNECT_ERRORS[error]]
+    monkeypatch.setattr(delivery_setup.pool, "connect", connect)
+    delivery_setup.start("a", b"200")
+    wait_until(lambda: bool(delivery_setup.outcomes))
+    assert delivery_setup.outcomes == [CONNECT_ERRORS[error]]
 
 
-def test_deadline_before_connect_counts_as_not_sent(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_deadline_before_connect_counts_as_not_sent(
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A message's deadline passes while its connection is being established. This says nothing about the
     endpoint; counted as a refused connection, it would look like an outage of a healthy endpoint."""
-    stages = DeliveryStages(world)
-    monkeypatch.setattr(stages.pool, "connect", lambda _: gevent.sleep(9))
-    stages.start("a", b"200", timeout=30_000)
-    wait_until(lambda: bool(stages.outcomes))
-    assert stages.outcomes == [AttemptOutcome.NOT_SENT]
+    delivery_setup = DeliverySetup(harness)
+    monkeypatch.setattr(delivery_setup.pool, "connect", lambda _: gevent.sleep(9))
+    delivery_setup.start("a", b"200", timeout=30_000)
+    wait_until(lambda: bool(delivery_setup.outcomes))
+    assert delivery_setup.outcomes == [AttemptOutcome.NOT_SENT]
 
 
-def test_exhausted_connection_pool_is_a_local_fault(world: World) -> None:
+def test_exhausted_connection_pool_is_a_local_fault(harness: SenderHarness) -> None:
     """The attempt is not sent because all connections are in use, which is a local fault."""
-    stages = DeliveryStages(world)
-    stages.pool.limits = limits_with(endpoint_connections=0).endpoints
-    stages.start("a", b"200")
-    wait_until(lambda: bool(stages.outcomes))
-    assert stages.outcomes == [AttemptOutcome.LOCAL_FAULT]
-    assert not world.attempt_count("a")
+    delivery_setup = DeliverySetup(harness)
+    delivery_setup.pool.limits = limits_with(endpoint_connections=0).endpoints
+    delivery_setup.start("a", b"200")
+    wait_until(lambda: bool(delivery_setup.outcomes))
+    assert delivery_setup.outcomes == [AttemptOutcome.LOCAL_FAULT]
+    assert not harness.attempt_count("a")
--- a/tests/server/delivery/test_connection_pool.py
+++ b/tests/server/delivery/test_connection_pool.py
@@ -5,8 +5,8 @@
 import pytest
 from gevent import socket
 from support.limits import connection_pool
-from support.stages import DeliveryStages
-from support.world import LIMITS, World, request, reset_connection, wait_until
+from support.sender_harness import LIMITS, SenderHarness, request, reset_connection, wait_until
+from support.sender_parts import DeliverySetup
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.addresses import Address
@@ -15,9 +15,9 @@
 from ashpath.server.http.connection import HttpConnection
 
 
-def endpoint_address(world: World) -> Address:
-    """The address at which all endpoints of the world listen."""
-    port = world.servers[0].server_port
+def endpoint_address(harness: SenderHarness) -> Address:
+    """The address at which all endpoints of the harness listen."""
+    port = harness.servers[0].server_port
     assert port is not None
     return "127.0.0.1", port
 
@@ -28,11 +28,11 @@
     pool.idle["e1"][index] = IdleConnection(since - seconds, connection)
 
 
-def test_unusable_idle_connections_are_closed(world: World) -> None:
+def test_unusable_idle_connections_are_closed(harness: SenderHarness) -> None:
     """Connections that are closed by the far end, hold unexpected bytes or were idle for too long are closed,
     both on reuse and by the sweep."""
     pool = connection_pool()
-    good, closed, unusable, old = (pool.connect(endpoint_address(world)) for _ in range(4))
+    good, closed, unusable, old = (pool.connect(endpoint_address(harness)) for _ in range(4))
     for connection in (closed, unusable, good, old):
         pool.release("e1", connection)
     closed.write(b"nonsense\r\n\r\n")  # the far end closes the connection in response
@@ -47,10 +47,10 @@
     assert pool.open == 1
 
 
-def test_longest_idle_connection_is_evicted_at_the_limit(world: World) -> None:
+def test_longest_idle_connection_is_evicted_at_the_limit(harness: SenderHarness) -> None:
     """At the limit, a new connection replaces the longest idle one; without an idle one, acquire fails."""
     pool = connection_pool()
-    address = endpoint_address(world)
+    address = endpoint_address(harness)
     pool.release("e1", pool.connect(address))
     in_use = [pool.connect(address) for _ in range(LIMITS.endpoints.endpoint_connections - 1)]
     assert pool.make_room()
@@ -65,12 +65,12 @@
     assert pool.open == LIMITS.endpoints.endpoint_connections - 1
 
 
-def test_reset_of_idle_connection_shortens_idle_limit(world: World) -> None:
+def test_reset_of_idle_connection_shortens_idle_limit(harness: SenderHarness) -> None:
     """The far end resets a connection that was idle for a while, without sending a FIN. The pool then closes
     connections after a shorter idle time, and reuses the most recently used connection first."""
-    stages = DeliveryStages(world)
-    pool = stages.pool
-    address = endpoint_address(world)
+    delivery_setup = DeliverySetup(harness)
+    pool = delivery_setup.pool
+    address = endpoint_address(harness)
 
     def reset_after_request(sock: socket.socket, _: object) -> None:
         HttpConnection(sock, LIMITS.http).read_request()
@@ -82,17 +82,17 @@
         backdate_idle_connection(pool, -1, age)
     assert pool.acquire_idle("e1") is old
     pool.release("e1", old)
-    world.servers[0].set_handle(reset_after_request)
-    stages.start("a", b"reset")  # uses the young connection, now the longest idle
-    wait_until(lambda: stages.outcomes == [AttemptOutcome.CONNECTION_RESET])
+    harness.servers[0].set_handle(reset_after_request)
+    delivery_setup.start("a", b"reset")  # uses the young connection, now the longest idle
+    wait_until(lambda: delivery_setup.outcomes == [AttemptOutcome.CONNECTION_RESET])
     assert 0.1 < pool.idle_limit("e1") < 0.2
     assert pool.idle_limit("e2") == LIMITS.endpoints.endpoint_idle_s
     last = pool.connect(address)
     pool.release("e1", last)
     assert pool.acquire_idle("e1") is last
     pool.release("e1", last)
-    stages.start("b", b"reset")  # uses the last connection, which was hardly idle: the limit stays
-    wait_until(lambda: len(stages.outcomes) == 2)
+    delivery_setup.start("b", b"reset")  # uses the last connection, which was hardly idle: the limit stays
+    wait_until(lambda: len(delivery_setup.outcomes) == 2)
     assert pool.idle_limit("e1") > 0.1
     pool.close_idle("e1")
     third = pool.connect(address)
--- a/tests/server/delivery/test_endpoint_registry.py
+++ b/tests/server/delivery/test_endpoint_registry.py
@@ -3,39 +3,43 @@
 from __future__ import annotations
 
 from support.limits import connection_pool, limits_with
+from support.sender_harness import SenderHarness, wait_until
+from support.sender_parts import DeliverySetup
 from support.server import LOG
-from support.stages import DeliveryStages
-from support.world import World, wait_until
 
 from ashpath.core.interface import AttemptOutcome
 from ashpath.server.delivery.endpoint_registry import EndpointRegistry
 
 
-def test_successor_at_same_address_gets_no_old_connection(world: World) -> None:
+def test_successor_at_same_address_gets_no_old_connection(harness: SenderHarness) -> None:
     """Connections of a removed endpoint, idle or in use, are not reused for the endpoint that took over its
     address."""
-    stages = DeliveryStages(world)
-    stages.start("a", b"200")
-    slow = stages.start("b", b"slow")
-    wait_until(lambda: stages.outcomes == [AttemptOutcome.DELIVERED] and slow.written and stages.pool.idle)
-    old = stages.pool.idle["e1"][0][1]
-    stages.registry.apply_members(
-        [{**world.members[1], "phase": "removed"}, {**world.members[1], "id": "new"}], complete=False
+    delivery_setup = DeliverySetup(harness)
+    delivery_setup.start("a", b"200")
+    slow = delivery_setup.start("b", b"slow")
+    wait_until(
+        lambda: delivery_setup.outcomes == [AttemptOutcome.DELIVERED]
+        and slow.written
+        and delivery_setup.pool.idle
+    )
+    old = delivery_setup.pool.idle["e1"][0][1]
+    delivery_setup.registry.apply_members(
+        [{**harness.members[1], "phase": "removed"}, {**harness.members[1], "id": "new"}], complete=False
     )
     assert old.unusable
-    assert not stages.pool.idle
+    assert not delivery_setup.pool.idle
     wait_until(
-        lambda: len(stages.outcomes) == 2 and not stages.pool.open
+        lambda: len(delivery_setup.outcomes) == 2 and not delivery_setup.pool.open
     )  # the connection that was in use closes as well
-    stages.start("c", b"200", "new")
-    wait_until(lambda: stages.outcomes[2:] == [AttemptOutcome.DELIVERED])
-    assert list(stages.pool.idle) == ["new"]
+    delivery_setup.start("c", b"200", "new")
+    wait_until(lambda: delivery_setup.outcomes[2:] == [AttemptOutcome.DELIVERED])
+    assert list(delivery_setup.pool.idle) == ["new"]
 
 
-def test_drain_applies_despite_unreadable_address(world: World) -> None:
+def test_drain_applies_despite_unreadable_address(harness: SenderHarness) -> None:
     """A drain without a readable address applies, as nothing more is sent there. An endpoint that is up
     needs a readable address."""
-    registry = DeliveryStages(world).registry
+    registry = DeliverySetup(harness).registry
     draining = {"id": "e1", "cell": 1, "phase": "draining", "host_port": None}
     assert not registry.apply_members([draining], complete=False).unreadable
     listed_again = {**draining, "phase": "up", "host_port": "127.0.0.1:70000"}
--- a/tests/server/delivery/test_file_notifier.py
+++ b/tests/server/delivery/test_file_notifier.py
@@ -9,7 +9,7 @@
 import pytest
 from support.limits import limits_with
 from support.notifications import ended_message
-from support.world import LIMITS, wait_until
+from support.sender_harness import LIMITS, wait_until
 
 from ashpath.server.delivery.file_notifier import FileNotifier
 from ashpath.server.delivery.rotating_file import RotatingFile
--- a/tests/server/delivery/test_http_notifier.py
+++ b/tests/server/delivery/test_http_notifier.py
@@ -8,7 +8,7 @@
 import gevent
 import pytest
 from support.notifications import ended_message
-from support.world import LIMITS, wait_until
+from support.sender_harness import LIMITS, wait_until
 
 from ashpath.server.agent_client import Headers
 from ashpath.server.backoff import Backoff
--- a/tests/server/delivery/test_local_faults.py
+++ b/tests/server/delivery/test_local_faults.py
@@ -14,7 +14,7 @@
 
 import gevent
 from gevent import Timeout
-from support.world import World, wait_until
+from support.sender_harness import SenderHarness, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import CallFault, FaultyCall, ProcessFaults
 
@@ -27,23 +27,23 @@
 def run_with_failing_connects(folder: Path, error: str) -> str:
     """Runs one sender whose connects fail for a while; returns a description of the faults, or ""."""
     folder.mkdir()
-    world = World(folder)
+    harness = SenderHarness(folder)
     fault = CallFault(FaultyCall.CONNECT, error, skip=2, count=FAILING_CONNECTS)  # skips discovery's connects
-    world.faults = ProcessFaults((fault,))
+    harness.faults = ProcessFaults((fault,))
     try:
-        world.start()
+        harness.start()
         names = [f"m{number}" for number in range(MESSAGES)]
         for number, name in enumerate(names):
-            world.submit(name, "free", "200", number % 4, time_left_ms=TIME_LEFT_MS)
+            harness.submit(name, "free", "200", number % 4, time_left_ms=TIME_LEFT_MS)
             gevent.sleep(0.02)
         with suppress(Timeout), Timeout(TIME_LEFT_MS / 1000):
-            wait_until(lambda: all(world.attempt_count(name) for name in names))
+            wait_until(lambda: all(harness.attempt_count(name) for name in names))
         log = (folder / "log").read_text()
-        missing = sum(not world.attempt_count(name) for name in names)
+        missing = sum(not harness.attempt_count(name) for name in names)
         breakers = log.count("breaker open") + log.count("ailing")
         return f"{missing} not delivered, {breakers} breakers" if missing or breakers else ""
     finally:
-        world.stop()
+        harness.stop()
 
 
 def test_local_connect_faults_delay_messages_without_opening_breakers(tmp_path: Path) -> None:
--- a/tests/server/delivery/test_response_classifier.py
+++ b/tests/server/delivery/test_response_classifier.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 import pytest
+from support.sender_harness import SenderHarness, wait_until
 from support.server import live_messages
-from support.world import World, wait_until
 
 from ashpath.core.interface import AttemptOutcome, LoadReport
 from ashpath.server.delivery.attempts import Attempt, AttemptResult
@@ -74,29 +74,29 @@
     return attempt
 
 
-def test_endpoint_behavior_determines_attempts_and_notification(world: World) -> None:
+def test_endpoint_behavior_determines_attempts_and_notification(harness: SenderHarness) -> None:
     """Checks the number of attempts, their headers and the notification for each endpoint behavior."""
     for number, case in enumerate(DELIVERY_CASES):
         if case.behaviors == "refused":
-            world.members[number]["host_port"] = "127.0.0.1:1"
-    world.configure()
-    world.start()
+            harness.members[number]["host_port"] = "127.0.0.1:1"
+    harness.configure()
+    harness.start()
     for number, case in enumerate(DELIVERY_CASES):
         time_left = 30000 if "200" in case.behaviors or case.behaviors == "slow" else 1500
-        assert world.submit(f"r{number}", case.traffic_class, case.behaviors, number, time_left) == 202
+        assert harness.submit(f"r{number}", case.traffic_class, case.behaviors, number, time_left) == 202
     for number, case in enumerate(DELIVERY_CASES):
         trace_id = f"r{number}"
-        wait_until(lambda trace_id=trace_id, case=case: world.attempt_count(trace_id) >= case.attempts)  # type: ignore[misc]
+        wait_until(lambda trace_id=trace_id, case=case: harness.attempt_count(trace_id) >= case.attempts)  # type: ignore[misc]
         if case.notification is not None:
             expected = [case.notification]
-            wait_until(lambda trace_id=trace_id, expected=expected: world.notified(trace_id) == expected)  # type: ignore[misc]
-        assert world.attempt_count(trace_id) == case.attempts, case
-        for call in world.attempts.get(trace_id, ()):
+            wait_until(lambda trace_id=trace_id, expected=expected: harness.notified(trace_id) == expected)  # type: ignore[misc]
+        assert harness.attempt_count(trace_id) == case.attempts, case
+        for call in harness.attempts.get(trace_id, ()):
             assert call.headers[b"idempotency-key"] == b"tag-r%d" % number
             assert call.path == b"/hook"
             assert 0 < int(call.headers[b"x-expires-in-ms"]) <= 30000
-    wait_until(lambda: not live_messages(world))
-    assert len(world.notifications) == sum(case.notification is not None for case in DELIVERY_CASES)
+    wait_until(lambda: not live_messages(harness))
+    assert len(harness.notifications) == sum(case.notification is not None for case in DELIVERY_CASES)
 
 
 @pytest.mark.parametrize(
--- a/tests/server/discovery/test_client.py
+++ b/tests/server/discovery/test_client.py
@@ -15,9 +15,9 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 from support.limits import discovery_client, limits_with
+from support.sender_harness import LIMITS, SenderHarness, reset_connection, wait_until
+from support.sender_parts import DeliverySetup
 from support.server import LOG, address_of
-from support.stages import DeliveryStages
-from support.world import LIMITS, World, reset_connection, wait_until
 
 from ashpath.server.addresses import Address
 from ashpath.server.backoff import Backoff
@@ -66,11 +66,11 @@
     An answer is bytes, the arguments of `endpoint_list`, "hold" to send nothing, or None to reset the
     connection."""
 
-    def __init__(self, world: World, answers: list[Any], server: int = 1) -> None:
+    def __init__(self, harness: SenderHarness, answers: list[Any], server: int = 1) -> None:
         self.queries: list[bytes] = []
         self.answers = answers
-        world.servers[server].set_handle(self.serve)
-        self.address = address_of(world.servers[server])
+        harness.servers[server].set_handle(self.serve)
+        self.address = address_of(harness.servers[server])
 
     def serve(self, sock: socket.socket, _: object) -> None:
         connection = HttpConnection(sock, LIMITS.http)
@@ -126,18 +126,18 @@
     assert listener.reports == [(1, True), (2, False)]
 
 
-def test_drain_is_received_after_watch_falls_silent(world: World) -> None:
+def test_drain_is_received_after_watch_falls_silent(harness: SenderHarness) -> None:
     """An endpoint drains while the watch is silent. The drain must be received within 6 s after the watch
     fell silent, or 2 s after the longest wait of the poll; without a timeout the watch would never end."""
     listener = RecordingListener()
 
     def stop_answering(sock: socket.socket, _: object) -> None:
-        world.config["known"] = {"revision": 2, "complete": False, "members": [{"phase": "draining"}]}
-        world.servers[1].set_handle(world.serve_platform)
+        harness.config["known"] = {"revision": 2, "complete": False, "members": [{"phase": "draining"}]}
+        harness.servers[1].set_handle(harness.serve_platform)
         gevent.sleep(30)
 
-    world.servers[1].set_handle(stop_answering)
-    client = discovery_client(address_of(world.servers[1]), 1, listener, Random(1), LOG)
+    harness.servers[1].set_handle(stop_answering)
+    client = discovery_client(address_of(harness.servers[1]), 1, listener, Random(1), LOG)
     began = monotonic()
     running = gevent.spawn(client.run)
     wait_until(lambda: listener.rows)
@@ -163,12 +163,12 @@
 
 
 @pytest.mark.parametrize("name", NEXT_QUERIES)
-def test_response_determines_next_query(world: World, name: str) -> None:
+def test_response_determines_next_query(harness: SenderHarness, name: str) -> None:
     """After an answer that lacks changes or is unreadable, the next poll asks for them again, so that no
     change is skipped."""
     answers, next_query = NEXT_QUERIES[name]
-    agent = ScriptedAgent(world, [*answers, "hold"])
-    listener = RegistryListener(DeliveryStages(world).registry)
+    agent = ScriptedAgent(harness, [*answers, "hold"])
+    listener = RegistryListener(DeliverySetup(harness).registry)
     limits = limits_with(watch_s=0.01, retry_s=0.01, discovery_rejected_backoff_s=0.01)
     client = discovery_client(agent.address, 5, listener, Random(1), LOG, limits=limits)
     running = gevent.spawn(client.run)
@@ -177,11 +177,13 @@
     running.kill()
 
 
-def test_response_of_old_agent_is_ignored_after_move(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_of_old_agent_is_ignored_after_move(
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The agent moves while the client connects to the old one. A late response of the old agent must not be
     applied, and its revision must not be sent to the new agent, whose revisions are unrelated."""
-    old = ScriptedAgent(world, [{"revision": 41, "members": [{**ROW, "id": "stale"}]}, "hold"])
-    new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
+    old = ScriptedAgent(harness, [{"revision": 41, "members": [{**ROW, "id": "stale"}]}, "hold"])
+    new = ScriptedAgent(harness, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
     listener = RecordingListener()
     client = discovery_client(old.address, 5, listener, Random(1), LOG)
 
@@ -200,12 +202,12 @@
 
 
 @pytest.mark.parametrize("retry_after", [b"60", b""], ids=["with Retry-After", "without"])
-def test_move_ends_pause_caused_by_old_agent(world: World, retry_after: bytes) -> None:
+def test_move_ends_pause_caused_by_old_agent(harness: SenderHarness, retry_after: bytes) -> None:
     """A drain must be received within 4 s after SIGHUP names another agent. A pause that the old agent caused
     would delay it, so the change of address ends the pause."""
     headers = [(b"Retry-After", retry_after)] if retry_after else []
-    old = ScriptedAgent(world, [encode_message(b"HTTP/1.1 429 X", headers, b""), "hold"])
-    new = ScriptedAgent(world, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
+    old = ScriptedAgent(harness, [encode_message(b"HTTP/1.1 429 X", headers, b""), "hold"])
+    new = ScriptedAgent(harness, [{"revision": 7, "members": [ROW]}, "hold"], server=2)
     client = discovery_client(old.address, 5, RecordingListener(), Random(1), LOG)
     running = gevent.spawn(client.run)
     wait_until(lambda: client.pause.active)
@@ -246,22 +248,22 @@
     assert largest_group < fleet / 6, "too many senders would poll at the same time"
 
 
-def test_agent_list_applies_before_first_attempt_after_restart(world: World) -> None:
+def test_agent_list_applies_before_first_attempt_after_restart(harness: SenderHarness) -> None:
     """After a restart the configuration's list may be old. The agent's list must be applied before the first
     attempt, so that an accepted message goes to the successor of a drained endpoint."""
-    log = WriteAheadLog(world.folder / "state", LIMITS.storage.disk_bytes)
+    log = WriteAheadLog(harness.folder / "state", LIMITS.storage.disk_bytes)
     assert log.record_submitted(StoredMessage(1, "a", 0, 1, None, None, stored_time() + 20_000_000, b"200"))
     log.close()
     connections: list[object] = []
     removed = StreamServer(("127.0.0.1", 0), lambda sock, _: connections.append(sock))
     removed.start()
-    old = {**world.members[1], "id": "old", "host_port": f"127.0.0.1:{removed.server_port}"}
-    listed = [*world.members, {**old, "phase": "draining"}]
-    ScriptedAgent(world, [{"revision": 3, "members": listed}, "hold"])
-    world.config["known"] = {"revision": 1, "complete": True, "members": [old]}
-    world.configure()
-    world.start()
-    wait_until(lambda: world.attempt_count("a") == 1)
+    old = {**harness.members[1], "id": "old", "host_port": f"127.0.0.1:{removed.server_port}"}
+    listed = [*harness.members, {**old, "phase": "draining"}]
+    ScriptedAgent(harness, [{"revision": 3, "members": listed}, "hold"])
+    harness.config["known"] = {"revision": 1, "complete": True, "members": [old]}
+    harness.configure()
+    harness.start()
+    wait_until(lambda: harness.attempt_count("a") == 1)
     assert not connections
     removed.stop()
 
@@ -360,10 +362,10 @@
 
 
 def test_unexpected_error_ends_poll_and_next_poll_follows(
-    world: World, monkeypatch: pytest.MonkeyPatch
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client does not wait for the rest of the poll's time, and logs the error once."""
-    agent = ScriptedAgent(world, [{"members": [ROW]}, {"members": [ROW]}, "hold"])
+    agent = ScriptedAgent(harness, [{"members": [ROW]}, {"members": [ROW]}, "hold"])
     listener, logger, released = RecordingListener(), Mock(), Event()
     released.set()
     failed = fail_first_response(monkeypatch, released)
@@ -378,8 +380,10 @@
     running.kill()
 
 
-def test_unexpected_error_of_late_poll_releases_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    agent = ScriptedAgent(world, ["hold", {"members": [ROW]}, "hold"])
+def test_unexpected_error_of_late_poll_releases_it(
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    agent = ScriptedAgent(harness, ["hold", {"members": [ROW]}, "hold"])
     listener, logger, released = RecordingListener(), Mock(), Event()
     failed = fail_first_response(monkeypatch, released)
     limits = limits_with(watch_s=0.05, watch_grace_s=0.0, retry_s=0.01)
@@ -396,7 +400,7 @@
     running.kill()
 
 
-def test_unexpected_error_in_late_list_is_logged_once(world: World) -> None:
+def test_unexpected_error_in_late_list_is_logged_once(harness: SenderHarness) -> None:
     """The rows of a list may have been applied in part, so the next poll is for a snapshot."""
     released = Event()
     logger = Mock()
@@ -410,12 +414,12 @@
 
     def answer_late(sock: socket.socket, _: object) -> None:
         HttpConnection(sock, LIMITS.http).read_request()
-        world.servers[1].set_handle(held_agent.serve)
+        harness.servers[1].set_handle(held_agent.serve)
         released.wait()
         sock.sendall(endpoint_list(revision=9, members=[ROW]))
 
-    held_agent = ScriptedAgent(world, ["hold", "hold", "hold"])
-    world.servers[1].set_handle(answer_late)
+    held_agent = ScriptedAgent(harness, ["hold", "hold", "hold"])
+    harness.servers[1].set_handle(answer_late)
     listener = FailingListener()
     client = discovery_client(held_agent.address, 5, listener, Random(1), logger)
     response = gevent.spawn(client.poll, 0.05)
@@ -448,9 +452,11 @@
         return False
 
 
-def test_poll_that_ends_as_its_time_does_is_not_late(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_poll_that_ends_as_its_time_does_is_not_late(
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("ashpath.server.discovery.client.Event", EventSetAtTimeout)
-    agent = ScriptedAgent(world, [{"revision": 9, "members": [ROW]}])
+    agent = ScriptedAgent(harness, [{"revision": 9, "members": [ROW]}])
     client = discovery_client(agent.address, 5, RecordingListener(), Random(1), LOG)
     connection = client.connection
     response = client.poll(1.0)
--- a/tests/server/discovery/test_endpoint_list_lease.py
+++ b/tests/server/discovery/test_endpoint_list_lease.py
@@ -17,7 +17,7 @@
 
 import gevent
 from support.drain_setup import DrainSetup, Scenario
-from support.world import wait_until
+from support.sender_harness import wait_until
 
 from ashpath.emulator.fault_injection.discovery_agent import AgentReply
 from ashpath.emulator.fault_injection.tcp_proxy import FullBacklog
--- a/tests/server/discovery/test_lease.py
+++ b/tests/server/discovery/test_lease.py
@@ -5,7 +5,7 @@
 from itertools import product
 
 import pytest
-from support.world import LIMITS
+from support.sender_harness import LIMITS
 
 from ashpath.server.discovery.lease import ListLease
 
--- a/tests/server/http/test_admission.py
+++ b/tests/server/http/test_admission.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 import pytest
-from support.stages import client_listener, read_request
-from support.world import POLICY_SETTINGS, request
+from support.sender_harness import POLICY_SETTINGS, request
+from support.sender_parts import client_listener, read_request
 
 from ashpath.server.delivery.outcome_recorder import SubmitDecision, SubmitResult
 from ashpath.server.http.admission import Admission, AdmissionResult
--- a/tests/server/http/test_client_connection.py
+++ b/tests/server/http/test_client_connection.py
@@ -8,9 +8,9 @@
 import gevent
 import pytest
 from gevent import Timeout, socket
+from support.sender_harness import request, reset_connection, wait_until
+from support.sender_parts import SocketPairConnection, client_listener
 from support.server import receive_all, serve, tcp_pair
-from support.stages import SocketPairConnection, client_listener
-from support.world import request, reset_connection, wait_until
 
 from ashpath.server.http.connection_table import ConnectionState
 from ashpath.server.http.errors import ConnectionClosedError
--- a/tests/server/http/test_connection.py
+++ b/tests/server/http/test_connection.py
@@ -4,7 +4,7 @@
 
 import pytest
 from gevent import socket
-from support.stages import SocketPairConnection
+from support.sender_parts import SocketPairConnection
 
 from ashpath.server.http.errors import (
     BodyTooLongError,
--- a/tests/server/http/test_connection_table.py
+++ b/tests/server/http/test_connection_table.py
@@ -6,9 +6,9 @@
 
 import gevent
 from gevent import socket
+from support.sender_harness import request, wait_until
+from support.sender_parts import SocketPairConnection, client_listener
 from support.server import receive_all, serve, tcp_pair
-from support.stages import SocketPairConnection, client_listener
-from support.world import request, wait_until
 
 from ashpath.server.http.connection_table import ConnectionState
 
--- a/tests/server/http/test_listener.py
+++ b/tests/server/http/test_listener.py
@@ -8,8 +8,8 @@
 
 from gevent import socket
 from gevent.server import StreamServer
+from support.sender_harness import LIMITS, SenderHarness, request, reset_connection, wait_until
 from support.server import address_of
-from support.world import LIMITS, World, request, reset_connection, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import CallFault, FaultyCall, ProcessFaults
 
@@ -50,78 +50,78 @@
 }
 
 
-def test_requests_get_their_status_beside_stalled_clients(world: World) -> None:
-    world.start()
+def test_requests_get_their_status_beside_stalled_clients(harness: SenderHarness) -> None:
+    harness.start()
     stalled = [
-        world.connect() for _ in range(LIMITS.clients.client_connections + 20)
+        harness.connect() for _ in range(LIMITS.clients.client_connections + 20)
     ]  # more than the process has descriptors for
     for connection in stalled:
         assert connection is not None
         connection.write(b"POST /api HTTP/1.1\r\n")
     for data, status in STATUS_BY_REQUEST.items():
-        assert world.response_status(data) == status, data[:60]
-    wait_until(lambda: world.attempt_count("big") == 1)
-    assert not world.attempt_count("x")
-    assert not world.attempt_count("hidden")
-    assert world.process is not None
-    assert world.process.poll() is None
+        assert harness.response_status(data) == status, data[:60]
+    wait_until(lambda: harness.attempt_count("big") == 1)
+    assert not harness.attempt_count("x")
+    assert not harness.attempt_count("hidden")
+    assert harness.process is not None
+    assert harness.process.poll() is None
     for connection in stalled:
         assert connection is not None
         connection.close()
 
 
-def test_discovery_reconnects_while_idle_clients_fill_descriptors(world: World) -> None:
+def test_discovery_reconnects_while_idle_clients_fill_descriptors(harness: SenderHarness) -> None:
     """Guards against clients that use up the descriptors: discovery, notifications and the control address
     connect anew with those that remain."""
     held: list[socket.socket] = []
 
     def hold(sock: socket.socket, address: object) -> None:
         held.append(sock)
-        world.serve_platform(sock, address)
+        harness.serve_platform(sock, address)
 
-    world.servers[1].set_handle(hold)
-    world.start()
-    assert world.process is not None
-    resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (256, 256))
-    platform = world.servers[1]
+    harness.servers[1].set_handle(hold)
+    harness.start()
+    assert harness.process is not None
+    resource.prlimit(harness.process.pid, resource.RLIMIT_NOFILE, (256, 256))
+    platform = harness.servers[1]
     _, port = address_of(platform)
     platform.stop(timeout=0)
     for sock in held:
         reset_connection(sock)
-    clients = [world.connect() for _ in range(LIMITS.clients.client_connections + 40)]
+    clients = [harness.connect() for _ in range(LIMITS.clients.client_connections + 40)]
     for connection in clients[::2]:
         assert connection is not None
         connection.sock.sendall(b"GET /health/ready HTTP/1.1\r\n\r\n")
     assert (
-        world.submit("owed", "once", "hang", 1, time_left_ms=300) == 202
+        harness.submit("owed", "once", "hang", 1, time_left_ms=300) == 202
     )  # its notification cannot be delivered yet
-    assert world.operator_command(b"PING\n") == b"OK\n"
-    wait_until(lambda: "event=discovery now=silent" in (world.folder / "log").read_text())
-    descriptors = len(os.listdir(f"/proc/{world.process.pid}/fd"))
+    assert harness.operator_command(b"PING\n") == b"OK\n"
+    wait_until(lambda: "event=discovery now=silent" in (harness.folder / "log").read_text())
+    descriptors = len(os.listdir(f"/proc/{harness.process.pid}/fd"))
     assert descriptors <= 256
-    before = world.poll_counts.get(port, 0)
-    world.servers[1] = StreamServer(("127.0.0.1", port), world.serve_platform)
-    world.servers[1].start()
+    before = harness.poll_counts.get(port, 0)
+    harness.servers[1] = StreamServer(("127.0.0.1", port), harness.serve_platform)
+    harness.servers[1].start()
     began = monotonic()
-    wait_until(lambda: world.poll_counts.get(port, 0) > before and world.notified("owed"))
+    wait_until(lambda: harness.poll_counts.get(port, 0) > before and harness.notified("owed"))
     assert monotonic() - began < 6
-    assert world.operator_command(b"PING\n") == b"OK\n"
-    assert world.submit("new", "free", "200", 2) == 202
-    wait_until(lambda: world.attempt_count("new"))
-    log = (world.folder / "log").read_text()
+    assert harness.operator_command(b"PING\n") == b"OK\n"
+    assert harness.submit("new", "free", "200", 2) == 202
+    wait_until(lambda: harness.attempt_count("new"))
+    log = (harness.folder / "log").read_text()
     assert "unexpected error" not in log
     assert "Too many open files" not in log
-    assert world.process.poll() is None
+    assert harness.process.poll() is None
     for connection in clients:
         assert connection is not None
         connection.close()
 
 
-def test_lost_listening_socket_is_reopened(world: World) -> None:
+def test_lost_listening_socket_is_reopened(harness: SenderHarness) -> None:
     """Guards against an endless retry of accept on a descriptor that fails permanently."""
-    world.faults = ProcessFaults((CallFault(FaultyCall.ACCEPT, "EINVAL", skip=3, count=3),))
-    world.start()
-    statuses = [world.submit(f"m{number}", "free", "200", 1) for number in range(8)]
-    wait_until(lambda: "listening socket lost" in (world.folder / "log").read_text())
-    assert world.submit("later", "free", "200", 1) == 202
+    harness.faults = ProcessFaults((CallFault(FaultyCall.ACCEPT, "EINVAL", skip=3, count=3),))
+    harness.start()
+    statuses = [harness.submit(f"m{number}", "free", "200", 1) for number in range(8)]
+    wait_until(lambda: "listening socket lost" in (harness.folder / "log").read_text())
+    assert harness.submit("later", "free", "200", 1) == 202
     assert statuses.count(202) >= 5  # those in the lost socket's backlog are reset, and retried
--- a/tests/server/http/test_request_parser.py
+++ b/tests/server/http/test_request_parser.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
-from support.stages import read_request
-from support.world import POLICY_SETTINGS, TRAFFIC_CLASSES, request
+from support.sender_harness import POLICY_SETTINGS, TRAFFIC_CLASSES, request
+from support.sender_parts import read_request
 
 from ashpath.server.http.errors import InvalidRequestError
 from ashpath.server.http.request_parser import RequestParser, ordering_key
--- a/tests/server/metrics/test_metrics.py
+++ b/tests/server/metrics/test_metrics.py
@@ -9,9 +9,9 @@
 import pytest
 from gevent import socket
 from prometheus_client.parser import text_string_to_metric_families
+from support.sender_harness import LIMITS, SETTINGS, SenderHarness, free_address, wait_until
 from support.server import reload_configuration
 from support.standalone import StandaloneSender
-from support.world import LIMITS, SETTINGS, World, free_address, wait_until
 
 from ashpath.server.addresses import Address
 from ashpath.server.http.connection import open_connection
@@ -48,24 +48,26 @@
         return bool(probe.connect_ex(address) == 0)
 
 
-def move_metrics(world: World, event: str, address: Address | None) -> None:
+def move_metrics(harness: SenderHarness, event: str, address: Address | None) -> None:
     """Changes the metrics address, and waits until the server listens: the counters start with it, shortly
     after the log line."""
     listen = address and {"listen": f"{address[0]}:{address[1]}"}
-    reload_configuration(world, event, metrics=listen)
+    reload_configuration(harness, event, metrics=listen)
     wait_until(lambda: address is None or is_listening(address))
 
 
-def test_scrape_shows_counters_and_gauges_of_deliveries(world: World) -> None:
+def test_scrape_shows_counters_and_gauges_of_deliveries(harness: SenderHarness) -> None:
     address = free_address()
-    world.members[6]["host_port"] = "127.0.0.1:1"
-    world.configure()
-    world.start()
-    move_metrics(world, "configuration read", address)
+    harness.members[6]["host_port"] = "127.0.0.1:1"
+    harness.configure()
+    harness.start()
+    move_metrics(harness, "configuration read", address)
     for trace_id, traffic_class, destination, body in SUBMITTED:
-        assert world.submit(trace_id, traffic_class, body, destination) == 202
-    assert world.submit("f", "free", "200", 6, time_left_ms=300) == 202
-    wait_until(lambda: world.notified("c") and world.notified("f") and scrape(address).get(DELIVERED) == 2)
+        assert harness.submit(trace_id, traffic_class, body, destination) == 202
+    assert harness.submit("f", "free", "200", 6, time_left_ms=300) == 202
+    wait_until(
+        lambda: harness.notified("c") and harness.notified("f") and scrape(address).get(DELIVERED) == 2
+    )
     samples = scrape(address)
     specifics = SETTINGS["specifics"]
     assert isinstance(specifics, dict)
@@ -94,20 +96,20 @@
     assert samples["destination_limit", "0", ""] > 0
 
 
-def test_silent_scrapers_do_not_delay_submissions(world: World) -> None:
+def test_silent_scrapers_do_not_delay_submissions(harness: SenderHarness) -> None:
     address = free_address()
-    world.start()
-    move_metrics(world, "configuration read", address)
+    harness.start()
+    move_metrics(harness, "configuration read", address)
     silent = [socket.create_connection(address) for _ in range(MAX_SCRAPERS + 2)]
     silent[0].sendall(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
     began = monotonic()
-    assert [world.submit(f"a{n}", "free", "200", 0) for n in range(20)] == [202] * 20
+    assert [harness.submit(f"a{n}", "free", "200", 0) for n in range(20)] == [202] * 20
     assert monotonic() - began < 1.0
     with gevent.Timeout(3 * SCRAPE_TIMEOUT_S + 2):
         assert scrape(address)["messages_accepted_total", "free"] == 20
 
 
-def test_metrics_address_changes_and_counters_continue(pair: tuple[World, World]) -> None:
+def test_metrics_address_changes_and_counters_continue(pair: tuple[SenderHarness, SenderHarness]) -> None:
     """A change to an address in use logs one line, and the old address stays in use; after a change to none,
     no server listens. The counters continue. In a hot upgrade the new process starts beside the old one, and
     takes the address once that ends."""
--- a/tests/server/storage/test_disk_call_failures.py
+++ b/tests/server/storage/test_disk_call_failures.py
@@ -19,7 +19,7 @@
     EARLIER_MESSAGES,
     MAX_LOG_BYTES,
     Process,
-    World,
+    SenderHarness,
     at_most_once_messages_run_twice,
     write_earlier_log,
 )
@@ -77,7 +77,7 @@
     yield from (Case("replace", KILL, first, 1) for first in OTHER_CALLS["replace"])
 
 
-def run_until_kill(case: Case, folder: Path, world: World) -> WriteAheadLog | None:
+def run_until_kill(case: Case, folder: Path, harness: SenderHarness) -> WriteAheadLog | None:
     """Runs a process under the faults of the case; returns its log, or None if the start failed."""
     disks = [FailingDisk(case.call, case.error, case.first, case.count)]
     if case.short_writes_from is not None:
@@ -89,7 +89,7 @@
         with suppress(KilledError, OSError):
             log = WriteAheadLog(folder, MAX_LOG_BYTES)
         if log is not None:
-            process = Process(log, world)
+            process = Process(log, harness)
             with suppress(KilledError):
                 for number in range(EARLIER_MESSAGES, MESSAGES):
                     process.accept(number)
@@ -105,20 +105,20 @@
 
 @pytest.mark.parametrize("case", table(), ids=str)
 def test_next_start_owes_what_was_accepted_and_runs_nothing_twice(tmp_path: Path, case: Case) -> None:
-    world = World()
-    write_earlier_log(tmp_path / "state", world)
-    log = run_until_kill(case, tmp_path / "state", world)
+    harness = SenderHarness()
+    write_earlier_log(tmp_path / "state", harness)
+    log = run_until_kill(case, tmp_path / "state", harness)
     complete = log is not None and not log.needs_repair and not case.killed_in_call
-    owed = world.accepted - world.ended
+    owed = harness.accepted - harness.ended
     next_log = start_after_kill(tmp_path / "state", tmp_path / "after")
     restored = set(next_log.messages.by_trace_id)
-    assert owed <= restored <= world.accepted
+    assert owed <= restored <= harness.accepted
     if complete:
         assert restored == owed
-    Process(next_log, world).restore()
-    assert world.ended == world.accepted
+    Process(next_log, harness).restore()
+    assert harness.ended == harness.accepted
     assert not next_log.needs_repair
-    assert at_most_once_messages_run_twice(world) == []
+    assert at_most_once_messages_run_twice(harness) == []
     next_log.close()
     if log is not None:
         log.close()
@@ -127,14 +127,14 @@
 @pytest.mark.parametrize("case", [case for case in table() if not case.killed_in_call], ids=str)
 def test_failed_records_are_written_once_disk_takes_them(tmp_path: Path, case: Case) -> None:
     """The disk takes writes again before the kill: the next start restores exactly what is owed."""
-    world = World()
-    write_earlier_log(tmp_path / "state", world)
-    log = run_until_kill(case, tmp_path / "state", world)
+    harness = SenderHarness()
+    write_earlier_log(tmp_path / "state", harness)
+    log = run_until_kill(case, tmp_path / "state", harness)
     if log is None:
         return  # the start failed, which the test above covers
     assert log.repair()
     assert not log.needs_repair
     next_log = start_after_kill(tmp_path / "state", tmp_path / "after")
-    assert set(next_log.messages.by_trace_id) == world.accepted - world.ended
+    assert set(next_log.messages.by_trace_id) == harness.accepted - harness.ended
     next_log.close()
     log.close()
--- a/tests/server/storage/test_disk_fault_sequences.py
+++ b/tests/server/storage/test_disk_fault_sequences.py
@@ -18,7 +18,7 @@
     EARLIER_MESSAGES,
     MAX_LOG_BYTES,
     Process,
-    World,
+    SenderHarness,
     at_most_once_messages_run_twice,
     write_earlier_log,
 )
@@ -47,9 +47,9 @@
 class FaultyProcess:
     """One process on a state directory, under faults of the disk."""
 
-    def __init__(self, folder: Path, world: World, random: Random) -> None:
+    def __init__(self, folder: Path, harness: SenderHarness, random: Random) -> None:
         self.folder = folder
-        self.world = world
+        self.harness = harness
         self.random = random
         self.log: WriteAheadLog | None = None
         self.killed = False
@@ -64,7 +64,7 @@
                     self.log = WriteAheadLog(self.folder, MAX_LOG_BYTES)
                 if self.log is None:
                     return number
-                process = Process(self.log, self.world)
+                process = Process(self.log, self.harness)
                 process.restore_some(self.random)
                 repairer = LogRepairer(self.log, 1.0, Mock())
                 for _ in range(self.random.randint(0, MAX_MESSAGES)):
@@ -82,7 +82,7 @@
         assert owed <= restored
         if self.killed:
             return  # the killed process could not tell the client or the endpoint what it had written
-        assert restored <= self.world.accepted
+        assert restored <= self.harness.accepted
         if self.log is not None and not self.log.needs_repair:
             assert restored == set(self.log.messages.by_trace_id)
 
@@ -90,27 +90,27 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_sequence_of_faults_loses_and_repeats_nothing(tmp_path: Path, seed: int) -> None:
     random = Random(seed)
-    world = World()
+    harness = SenderHarness()
     folder = tmp_path / "0"
-    write_earlier_log(folder, world)
+    write_earlier_log(folder, harness)
     number = EARLIER_MESSAGES
     for generation in range(1, PROCESSES + 1):
-        process = FaultyProcess(folder, world, random)
+        process = FaultyProcess(folder, harness, random)
         number = process.run(number)
         if process.log is not None and not process.killed:
             process.log.adopt()  # the disk works again, and the adopter looks for orphans
-        owed = world.accepted - world.ended
+        owed = harness.accepted - harness.ended
         shutil.copytree(folder, tmp_path / "check")
         after = WriteAheadLog(tmp_path / "check", MAX_LOG_BYTES)
         process.check(after, owed)
-        world.accepted |= set(after.messages.by_trace_id)
+        harness.accepted |= set(after.messages.by_trace_id)
         after.close()
         shutil.rmtree(tmp_path / "check")
         folder = Path(shutil.copytree(folder, tmp_path / f"{generation}"))
         if process.log is not None:
             process.log.close()
     last = WriteAheadLog(folder, MAX_LOG_BYTES)
-    Process(last, world).restore()
+    Process(last, harness).restore()
     last.close()
-    assert world.accepted == world.ended
-    assert at_most_once_messages_run_twice(world) == []
+    assert harness.accepted == harness.ended
+    assert at_most_once_messages_run_twice(harness) == []
--- a/tests/server/storage/test_stored_clock.py
+++ b/tests/server/storage/test_stored_clock.py
@@ -8,7 +8,7 @@
 from unittest.mock import Mock
 
 import pytest
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 from ashpath.server import timers
 from ashpath.server.storage import stored_clock
--- a/tests/server/storage/test_stored_data_at_start.py
+++ b/tests/server/storage/test_stored_data_at_start.py
@@ -5,9 +5,9 @@
 import shutil
 from pathlib import Path
 
+from support.sender_harness import SenderHarness, wait_until
 from support.standalone import StandaloneSender
 from support.stored_data import STORED
-from support.world import World, wait_until
 
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
@@ -23,25 +23,25 @@
 }
 
 
-def test_platform_sender_finishes_stored_messages(world: World) -> None:
+def test_platform_sender_finishes_stored_messages(harness: SenderHarness) -> None:
     """A process that starts on the stored state directory ends each message as its traffic class allows."""
-    shutil.copytree(STORED / "platform", world.folder / "state", dirs_exist_ok=True)
-    world.start()
-    wait_until(lambda: len(world.notifications) >= 5 and len(world.attempts) >= 3)
-    reported = {line["id"]: (line["status"], line.get("again_ms")) for line in world.notifications}
+    shutil.copytree(STORED / "platform", harness.folder / "state", dirs_exist_ok=True)
+    harness.start()
+    wait_until(lambda: len(harness.notifications) >= 5 and len(harness.attempts) >= 3)
+    reported = {line["id"]: (line["status"], line.get("again_ms")) for line in harness.notifications}
     undeliverable = dict.fromkeys(["p-owed", "p-tried", "p-out", "p-orphan-out"], ("undeliverable", None))
     assert reported == {**undeliverable, "p-deferred": ("deferred", 500)}
-    assert set(world.attempts) == {"p-waiting", "p-ran", "p-ran-and-out"}
+    assert set(harness.attempts) == {"p-waiting", "p-ran", "p-ran-and-out"}
     # These messages wait for the endpoint that an operator has detached.
     waiting = ["p-bytes", "p-empty", "p-orphan-waiting"]
-    wait_until(lambda: [message.trace_id for message in live_messages(world)] == waiting)
+    wait_until(lambda: [message.trace_id for message in live_messages(harness)] == waiting)
 
 
-def live_messages(world: World) -> list[StoredMessage]:
+def live_messages(harness: SenderHarness) -> list[StoredMessage]:
     """Returns the live messages of the running sender's log, read from a copy."""
-    copied = world.folder / f"copy-{len(list(world.folder.iterdir()))}"
+    copied = harness.folder / f"copy-{len(list(harness.folder.iterdir()))}"
     copied.mkdir()
-    shutil.copy(world.folder / "state" / "journal", copied)
+    shutil.copy(harness.folder / "state" / "journal", copied)
     log = WriteAheadLog(copied, 1 << 20)
     log.close()
     return list(log.messages.live.values())
--- a/tests/server/test_adoption.py
+++ b/tests/server/test_adoption.py
@@ -6,7 +6,7 @@
 
 import gevent
 import structlog
-from support.world import wait_until
+from support.sender_harness import wait_until
 
 from ashpath.server.adoption import OrphanAdopter
 from ashpath.server.storage.stored_message import StoredMessage
--- a/tests/server/test_agent_client.py
+++ b/tests/server/test_agent_client.py
@@ -4,8 +4,8 @@
 
 import gevent
 import pytest
+from support.sender_harness import LIMITS, SenderHarness
 from support.server import address_of
-from support.world import LIMITS, World
 
 from ashpath.server.addresses import Address
 from ashpath.server.agent_client import AgentConnection
@@ -16,16 +16,18 @@
 
 
 @pytest.fixture
-def address(world: World) -> Address:
-    return address_of(world.servers[1])
+def address(harness: SenderHarness) -> Address:
+    return address_of(harness.servers[1])
 
 
-def test_timed_out_agent_call_is_followed_by_a_new_connection(world: World, address: Address) -> None:
+def test_timed_out_agent_call_is_followed_by_a_new_connection(
+    harness: SenderHarness, address: Address
+) -> None:
     agent = AgentConnection(address, LIMITS.http)
-    world.servers[1].set_handle(lambda *_: gevent.sleep(9))
+    harness.servers[1].set_handle(lambda *_: gevent.sleep(9))
     assert agent.call(POLL, b"", 0.05) is None
     assert agent.connection is None
-    world.servers[1].set_handle(world.serve_platform)
+    harness.servers[1].set_handle(harness.serve_platform)
     response = agent.call(POLL, b"", 9)
     assert response is not None
     assert response.status == 200
@@ -33,9 +35,9 @@
     agent.close()
 
 
-def test_connection_is_kept_after_chunked_response(world: World, address: Address) -> None:
+def test_connection_is_kept_after_chunked_response(harness: SenderHarness, address: Address) -> None:
     agent = AgentConnection(address, LIMITS.http)
-    world.servers[1].set_handle(lambda sock, _: sock.sendall(CHUNKED))
+    harness.servers[1].set_handle(lambda sock, _: sock.sendall(CHUNKED))
     response = agent.call(POLL, b"", 9)
     assert response is not None
     assert response.body == b"abc"
@@ -44,11 +46,11 @@
 
 
 def test_unexpected_error_closes_the_connection(
-    world: World, address: Address, monkeypatch: pytest.MonkeyPatch
+    harness: SenderHarness, address: Address, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A response that was read in part must not precede the response to the next call."""
     agent = AgentConnection(address, LIMITS.http)
-    world.servers[1].set_handle(lambda sock, _: sock.sendall(CHUNKED))
+    harness.servers[1].set_handle(lambda sock, _: sock.sendall(CHUNKED))
     opened: list[HttpConnection] = []
 
     def fail(connection: HttpConnection) -> None:
--- a/tests/server/test_clock_steps.py
+++ b/tests/server/test_clock_steps.py
@@ -13,7 +13,7 @@
 
 import gevent
 from gevent import Timeout
-from support.world import World, wait_until
+from support.sender_harness import SenderHarness, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import ClockStep, ProcessFaults
 
@@ -25,22 +25,22 @@
 def run_with_clock_step(folder: Path, step_s: float) -> str:
     """Kills a sender that has two messages, restarts it with a stepped clock, and returns the faults seen."""
     folder.mkdir()
-    world = World(folder)
+    harness = SenderHarness(folder)
     try:
-        world.start()
-        world.submit("long", "free", "hang 200", 1, time_left_ms=LONG_MS)
-        world.submit("short", "free", "hang hang hang hang", 2, time_left_ms=SHORT_MS)
-        wait_until(lambda: world.attempt_count("long") and world.attempt_count("short"))
-        world.kill()
-        world.faults = ProcessFaults(clock=(ClockStep(0.0, step_s),))
-        world.start()
+        harness.start()
+        harness.submit("long", "free", "hang 200", 1, time_left_ms=LONG_MS)
+        harness.submit("short", "free", "hang hang hang hang", 2, time_left_ms=SHORT_MS)
+        wait_until(lambda: harness.attempt_count("long") and harness.attempt_count("short"))
+        harness.kill()
+        harness.faults = ProcessFaults(clock=(ClockStep(0.0, step_s),))
+        harness.start()
         with suppress(Timeout), Timeout(NOTIFICATION_DUE_S):
-            wait_until(lambda: world.attempt_count("long") == 2 and world.notified("short"))
-        given_up = bool(world.notified("long")) or world.attempt_count("long") < 2
-        late = not world.notified("short")
+            wait_until(lambda: harness.attempt_count("long") == 2 and harness.notified("short"))
+        given_up = bool(harness.notified("long")) or harness.attempt_count("long") < 2
+        late = not harness.notified("short")
         return f"long given up: {given_up}, short late: {late}" if given_up or late else ""
     finally:
-        world.stop()
+        harness.stop()
 
 
 def test_restart_with_stepped_clock_keeps_deadlines(tmp_path: Path) -> None:
--- a/tests/server/test_gossip.py
+++ b/tests/server/test_gossip.py
@@ -11,7 +11,7 @@
 import gevent
 import pytest
 from gevent import socket
-from support.world import free_address, wait_until
+from support.sender_harness import free_address, wait_until
 
 from ashpath.server.addresses import Address
 from ashpath.server.gossip import MAX_MESSAGE_BYTES, Gossip, bind
--- a/tests/server/test_hot_upgrade.py
+++ b/tests/server/test_hot_upgrade.py
@@ -7,14 +7,14 @@
 import gevent
 from gevent.server import StreamServer
 from support.loggers import error_raising_logger
+from support.sender_harness import SenderHarness, free_address, request, wait_until
 from support.server import READINESS_REQUEST, terminate
-from support.world import World, free_address, request, wait_until
 
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.storage.detached_endpoints import DetachedEndpoints
 
 
-def test_new_process_takes_over_on_inherited_socket(pair: tuple[World, World]) -> None:
+def test_new_process_takes_over_on_inherited_socket(pair: tuple[SenderHarness, SenderHarness]) -> None:
     old, new = pair
     client = old.connect()  # a client with its connection open across the upgrade
     assert client is not None
@@ -27,7 +27,7 @@
     assert new.notified("u1") == ["deferred"]  # one notification, from either process
 
 
-def open_accepted_connection(old: World, data: bytes = b"") -> HttpConnection:
+def open_accepted_connection(old: SenderHarness, data: bytes = b"") -> HttpConnection:
     """Opens a connection to the old process and writes `data`, which may be part of a request."""
     connection = old.connect()
     assert connection is not None
@@ -35,7 +35,7 @@
     return connection
 
 
-def test_every_request_during_an_upgrade_gets_a_response(pair: tuple[World, World]) -> None:
+def test_every_request_during_an_upgrade_gets_a_response(pair: tuple[SenderHarness, SenderHarness]) -> None:
     """Guards against requests lost at SIGTERM: requests on kept connections, the first request of an
     accepted connection, and a request sent in pieces. Each gets its response, which closes its connection."""
     old, new = pair
@@ -64,7 +64,9 @@
     assert not any(new.notified(trace) for trace in ("d0", "d1", "d2", "d3", "d-slow"))
 
 
-def test_endpoint_detached_in_one_process_is_detached_in_both(pair: tuple[World, World]) -> None:
+def test_endpoint_detached_in_one_process_is_detached_in_both(
+    pair: tuple[SenderHarness, SenderHarness],
+) -> None:
     """DETACH at either process of a hot upgrade applies to both: to operators they are one sender."""
     old, new = pair
     new.start()
@@ -79,7 +81,7 @@
 
 
 def test_recovering_destination_gets_no_attempt_of_the_process_that_hands_over(
-    pair: tuple[World, World],
+    pair: tuple[SenderHarness, SenderHarness],
 ) -> None:
     """Guards a recovering destination against both processes of a sender, each with the sender's whole
     budget. The process that takes over adopts the message and delivers it."""
@@ -111,7 +113,9 @@
     recovered_endpoint.stop()
 
 
-def test_message_waits_for_predecessor_of_its_key_in_old_process(pair: tuple[World, World]) -> None:
+def test_message_waits_for_predecessor_of_its_key_in_old_process(
+    pair: tuple[SenderHarness, SenderHarness],
+) -> None:
     """The two processes are one sender: the new one does not call a message before the outcome of an earlier
     message with its key, which the old process still has."""
     old, new = pair
--- a/tests/server/test_imports.py
+++ b/tests/server/test_imports.py
@@ -5,7 +5,7 @@
 import sys
 
 from gevent import subprocess
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 
 def test_modules_of_disabled_features_are_not_imported() -> None:
--- a/tests/server/test_limits.py
+++ b/tests/server/test_limits.py
@@ -9,7 +9,7 @@
 import pytest
 from support.configuration import EXAMPLE, TEXT, write_file
 from support.limits import values_by_key
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 from ashpath.config.loading import read_configuration
 from ashpath.config.platform_document import platform_document
--- a/tests/server/test_log_events.py
+++ b/tests/server/test_log_events.py
@@ -5,7 +5,7 @@
 import ast
 import re
 
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 # Events whose text is chosen at run time, by file.
 CONDITIONAL_EVENTS = {"admission.py": ["write-ahead log full", "write-ahead log has space"]}
--- a/tests/server/test_log_writer.py
+++ b/tests/server/test_log_writer.py
@@ -8,7 +8,7 @@
 
 import gevent
 import pytest
-from support.world import wait_until
+from support.sender_harness import wait_until
 
 from ashpath.server.log_writer import MAX_PENDING_BYTES, LogWriter
 
--- a/tests/server/test_message_restoration.py
+++ b/tests/server/test_message_restoration.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 import pytest
-from support.stages import unreachable_notifier
-from support.world import LIMITS
+from support.sender_harness import LIMITS
+from support.sender_parts import unreachable_notifier
 
 from ashpath.core.interface import PreviousAttempts
 from ashpath.core.time_units import SECOND
--- a/tests/server/test_optional_services.py
+++ b/tests/server/test_optional_services.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from gevent import socket
+from support.sender_harness import SETTINGS, SenderHarness, wait_until
 from support.server import reload_configuration
-from support.world import SETTINGS, World, wait_until
 
 
 def bound_socket() -> socket.socket:
@@ -19,24 +19,24 @@
     return f"127.0.0.1:{bound.getsockname()[1]}"
 
 
-def test_gossip_starts_once_its_address_is_free(world: World) -> None:
+def test_gossip_starts_once_its_address_is_free(harness: SenderHarness) -> None:
     """Another socket occupies the address at the start; later a destination's recovery is published by
     gossip."""
     peer = bound_socket()
     occupying_socket = bound_socket()
     gossip = {"listen": address_text(occupying_socket), "senders": [address_text(peer)]}
-    world.members[3]["host_port"] = "127.0.0.1:1"
+    harness.members[3]["host_port"] = "127.0.0.1:1"
     limits = {**SETTINGS["limits"], "max-open": 90, "may-tell": True}
-    world.config |= {"peers": gossip, "settings": {**SETTINGS, "limits": limits}}
-    world.configure()
-    world.start()
-    assert world.submit("a", "free", "200", 3) == 202
-    log = world.folder / "log"
+    harness.config |= {"peers": gossip, "settings": {**SETTINGS, "limits": limits}}
+    harness.configure()
+    harness.start()
+    assert harness.submit("a", "free", "200", 3) == 202
+    log = harness.folder / "log"
     wait_until(lambda: "ailing" in log.read_text() and "gossip not received" in log.read_text())
     occupying_socket.close()
-    world.members[3]["host_port"] = world.members[5]["host_port"]
-    other_agent = f"127.0.0.1:{world.servers[2].server_port}"
-    reload_configuration(world, "configuration read", discovery=other_agent)
+    harness.members[3]["host_port"] = harness.members[5]["host_port"]
+    other_agent = f"127.0.0.1:{harness.servers[2].server_port}"
+    reload_configuration(harness, "configuration read", discovery=other_agent)
     peer.settimeout(15)
     assert peer.recvfrom(300)[0] == b"back 3 e3"
-    assert world.attempt_count("a") == 1
+    assert harness.attempt_count("a") == 1
--- a/tests/server/test_platform_deployment.py
+++ b/tests/server/test_platform_deployment.py
@@ -6,10 +6,10 @@
 
 import pytest
 from gevent import subprocess
-from support.world import World
+from support.sender_harness import SenderHarness
 
 
-def test_failed_start_prints_one_line(world: World) -> None:
+def test_failed_start_prints_one_line(harness: SenderHarness) -> None:
     variables = [
         ("RELAY_STATE", ""),
         ("RELAY_CONFIG", ""),
@@ -17,12 +17,12 @@
         ("RELAY_LISTEN", "x"),
     ]
     for name, value in [*variables, ("", "{"), ("", "[]"), ("", '{"seed": "x"}')]:
-        environment = world.environment()
+        environment = harness.environment()
         environment.pop(name, None)
         if name and value:
             environment[name] = value
         elif value:
-            (world.folder / "config.json").write_text(value)
+            (harness.folder / "config.json").write_text(value)
         run = subprocess.run([sys.executable, "-m", "ashpath"], env=environment, capture_output=True)
         errors = run.stderr.decode()
         assert run.returncode != 0, errors
@@ -39,9 +39,9 @@
     ],
 )
 def test_invalid_variable_prints_one_line_and_exits_with_2(
-    world: World, name: str, value: str, problem: str
+    harness: SenderHarness, name: str, value: str, problem: str
 ) -> None:
-    environment = {**world.environment(), name: value}
+    environment = {**harness.environment(), name: value}
     completed = subprocess.run(
         [sys.executable, "-m", "ashpath"], env=environment, capture_output=True, timeout=60
     )
@@ -49,12 +49,12 @@
     assert completed.stderr.decode().splitlines() == [f"ashpath: {problem}"]
 
 
-def test_invalid_address_keeps_its_error_line(world: World) -> None:
+def test_invalid_address_keeps_its_error_line(harness: SenderHarness) -> None:
     """Operators match this line; it names no exception type that this program defines."""
-    config = world.folder / "config.json"
+    config = harness.folder / "config.json"
     line = f"ashpath: cannot start from {config}: ValueError 'x' is no address with a port"
     for name in ("RELAY_LISTEN", "RELAY_DISCOVERY"):
-        environment = {**world.environment(), name: "x"}
+        environment = {**harness.environment(), name: "x"}
         completed = subprocess.run(
             [sys.executable, "-m", "ashpath"], env=environment, capture_output=True, timeout=60
         )
--- a/tests/server/test_policy_actions.py
+++ b/tests/server/test_policy_actions.py
@@ -7,8 +7,8 @@
 import pytest
 import structlog
 from support.limits import connection_pool
-from support.stages import unreachable_notifier
-from support.world import LIMITS, POLICY_SETTINGS
+from support.sender_harness import LIMITS, POLICY_SETTINGS
+from support.sender_parts import unreachable_notifier
 
 from ashpath.server.delivery.attempts import Attempt
 from ashpath.server.delivery.outcome_recorder import OutcomeRecorder
--- a/tests/server/test_policy_runner.py
+++ b/tests/server/test_policy_runner.py
@@ -8,8 +8,8 @@
 
 import gevent
 import pytest
-from support.stages import read_request
-from support.world import LIMITS, World, request, wait_until
+from support.sender_harness import LIMITS, SenderHarness, request, wait_until
+from support.sender_parts import read_request
 
 from ashpath.server.http.admission import AdmissionResult
 from ashpath.server.http.connection import HttpConnection
@@ -20,9 +20,9 @@
 
 
 @pytest.fixture
-def sender(world: World, monkeypatch: pytest.MonkeyPatch) -> Sender:
+def sender(harness: SenderHarness, monkeypatch: pytest.MonkeyPatch) -> Sender:
     """A sender in this process, restored from its state directory; it does not listen."""
-    for name, value in world.environment().items():
+    for name, value in harness.environment().items():
         monkeypatch.setenv(name, value)
     sender = create_runtime()[0].sender
     sender.delivery.policy_runner.restore(list(sender.delivery.registry.records.values()))
@@ -36,7 +36,9 @@
     return message, admission.admit(message)
 
 
-def test_resubmission_during_an_attempt_starts_no_second_attempt(world: World, sender: Sender) -> None:
+def test_resubmission_during_an_attempt_starts_no_second_attempt(
+    harness: SenderHarness, sender: Sender
+) -> None:
     """Guards against concurrent attempts of one message: a client disconnects before its 202 is sent, and
     submits the message again. No second attempt starts beside the first, also after a kill, as the
     write-ahead log keeps the attempt until its outcome is known."""
@@ -45,7 +47,7 @@
     data = request("a", "once", "slow 200", 1)
     message, result = submit(sender, data)
     assert result.status is HTTPStatus.ACCEPTED
-    wait_until(lambda: world.attempt_count("a") == 1)
+    wait_until(lambda: harness.attempt_count("a") == 1)
     runner.client_disconnected(message)
     assert submit(sender, data)[1] == AdmissionResult(HTTPStatus.CONFLICT)
     assert live[message.message_id].in_flight_since is not None
@@ -54,7 +56,7 @@
     assert not live
     assert not runner.abandoned
     assert submit(sender, data)[1] == AdmissionResult(HTTPStatus.ACCEPTED)
-    wait_until(lambda: world.attempt_count("a") == 2 and not runner.attempts)
+    wait_until(lambda: harness.attempt_count("a") == 2 and not runner.attempts)
 
 
 @pytest.mark.parametrize("retry_after", [None, 0, 1_500_000])
@@ -110,38 +112,38 @@
 
 
 def test_ordered_message_waits_for_notification_of_its_predecessor(
-    world: World, monkeypatch: pytest.MonkeyPatch
+    harness: SenderHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards the order of an ordering key: a message that was given up is finished only once the platform
     has accepted its notification, also when a restart finds the notification pending."""
     attempts_seen: list[tuple[str, bool]] = []
-    respond = world.respond
+    respond = harness.respond
 
     def record(connection: HttpConnection, call: HttpRequest) -> bool:
-        attempts_seen.append((call.headers[b"x-trace-id"].decode(), bool(world.notified("one"))))
+        attempts_seen.append((call.headers[b"x-trace-id"].decode(), bool(harness.notified("one"))))
         return respond(connection, call)
 
-    monkeypatch.setattr(world, "respond", record)
-    world.notifications_to_reject = 10**6
-    world.start()
-    assert world.submit("one", "tag", "hang", 1, time_left_ms=700, ordering_key="k") == 202
-    assert world.submit("two", "tag", "200", 1, ordering_key="k") == 202
-    assert world.submit("other", "tag", "200", 2, ordering_key="j") == 202
+    monkeypatch.setattr(harness, "respond", record)
+    harness.notifications_to_reject = 10**6
+    harness.start()
+    assert harness.submit("one", "tag", "hang", 1, time_left_ms=700, ordering_key="k") == 202
+    assert harness.submit("two", "tag", "200", 1, ordering_key="k") == 202
+    assert harness.submit("other", "tag", "200", 2, ordering_key="j") == 202
     # Its notification is pending, and was rejected.
-    wait_until(lambda: world.notifications_to_reject < 10**6 - 2)
-    wait_until(lambda: world.attempt_count("other") > 0)
-    world.kill()
-    world.start()
-    wait_until(lambda: world.notifications_to_reject < 10**6 - 6)
-    assert not world.attempt_count("two")
-    world.notifications_to_reject = 0
-    wait_until(lambda: world.attempt_count("two") > 0)
+    wait_until(lambda: harness.notifications_to_reject < 10**6 - 2)
+    wait_until(lambda: harness.attempt_count("other") > 0)
+    harness.kill()
+    harness.start()
+    wait_until(lambda: harness.notifications_to_reject < 10**6 - 6)
+    assert not harness.attempt_count("two")
+    harness.notifications_to_reject = 0
+    wait_until(lambda: harness.attempt_count("two") > 0)
     assert ("two", True) in attempts_seen
     assert ("two", False) not in attempts_seen
 
 
 def test_full_disk_delays_the_attempt_until_recorded(
-    world: World, sender: Sender, monkeypatch: pytest.MonkeyPatch
+    harness: SenderHarness, sender: Sender, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against unrecorded attempts, which could run twice after a restart, and against retries
     within the same batch, which would use up all attempts."""
@@ -159,6 +161,6 @@
     gevent.get_hub().loop.update_now()  # startup took time, and timers start from the loop's time
     assert submit(sender, request("a", "once", "200", 1))[1].status is HTTPStatus.ACCEPTED
     assert len(failure_times) == 1
-    wait_until(lambda: world.attempt_count("a") == 1 and not write_ahead_log.messages.live)
+    wait_until(lambda: harness.attempt_count("a") == 1 and not write_ahead_log.messages.live)
     assert len(failure_times) == 3
     assert failure_times[2] - failure_times[0] > 1.5 * LIMITS.services.retry_s
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -9,8 +9,8 @@
 
 import pytest
 from gevent import subprocess
+from support.sender_harness import SETTINGS, SenderHarness, wait_until
 from support.server import live_messages, reload_configuration
-from support.world import SETTINGS, World, wait_until
 
 from ashpath.server.storage.traffic_class_ids import TrafficClassIds
 
@@ -39,28 +39,28 @@
 STATES = (("queued", "200", 6, 1), ("in flight", "slow", 8, 1), ("retry", "503 200", 20, 2))
 
 
-def relist_at_answering_address(world: World, endpoint: int) -> None:
+def relist_at_answering_address(harness: SenderHarness, endpoint: int) -> None:
     """Changes the address of an endpoint to a reachable one, and reloads the address of another agent."""
-    world.members[endpoint]["host_port"] = world.members[5]["host_port"]
-    reload_configuration(world, "configuration read", discovery=address_text(world, 2))
+    harness.members[endpoint]["host_port"] = harness.members[5]["host_port"]
+    reload_configuration(harness, "configuration read", discovery=address_text(harness, 2))
 
 
-def address_text(world: World, server: int) -> str:
-    """Returns the address of one of the world's servers."""
-    return f"127.0.0.1:{world.servers[server].server_port}"
+def address_text(harness: SenderHarness, server: int) -> str:
+    """Returns the address of one of the harness's servers."""
+    return f"127.0.0.1:{harness.servers[server].server_port}"
 
 
-def all_attempted(world: World, traces: list[str]) -> bool:
+def all_attempted(harness: SenderHarness, traces: list[str]) -> bool:
     """Returns whether each message has had an attempt."""
-    return all(world.attempt_count(trace) for trace in traces)
+    return all(harness.attempt_count(trace) for trace in traces)
 
 
-def test_settings_switch_delivers_messages_in_every_state(world: World) -> None:
+def test_settings_switch_delivers_messages_in_every_state(harness: SenderHarness) -> None:
     """The settings are switched twice in each direction. Messages that are queued, in flight, or waiting for
     a retry at a switch have exactly the attempts that their bodies ask for."""
-    world.members[6]["host_port"] = "127.0.0.1:1"
-    world.configure()
-    world.start()
+    harness.members[6]["host_port"] = "127.0.0.1:1"
+    harness.configure()
+    harness.start()
     attempts: dict[str, int] = {}
     for switch, settings in enumerate((SWITCHED, SETTINGS, SWITCHED, SETTINGS)):
         old_classes, new_class = (
@@ -68,51 +68,53 @@
         )
         for number, (name, (state, body, base_destination, count)) in enumerate(product(old_classes, STATES)):
             destination = base_destination if state == "queued" else base_destination + number
-            assert world.submit(f"{switch}{state}{name}", name, body, destination) == 202
+            assert harness.submit(f"{switch}{state}{name}", name, body, destination) == 202
             attempts[f"{switch}{state}{name}"] = count
         in_flight = [trace for trace in attempts if "in flight" in trace]
-        wait_until(partial(all_attempted, world, in_flight))
-        reload_configuration(world, "settings applied", settings=settings)
-        assert world.submit(f"{switch}new", new_class, "200", 1) == 202
-        assert world.submit("old", old_classes[0], "200", 1) == 400
+        wait_until(partial(all_attempted, harness, in_flight))
+        reload_configuration(harness, "settings applied", settings=settings)
+        assert harness.submit(f"{switch}new", new_class, "200", 1) == 202
+        assert harness.submit("old", old_classes[0], "200", 1) == 400
         attempts[f"{switch}new"] = 1
-    assert "max_in_flight=64 " in (world.folder / "log").read_text(), "not capped at the endpoint connections"
-    relist_at_answering_address(world, 6)
-    wait_until(lambda: all(world.attempt_count(trace) for trace in attempts) and not live_messages(world))
-    assert not world.notifications
-    assert {trace: world.attempt_count(trace) for trace in attempts} == attempts
+    assert "max_in_flight=64 " in (harness.folder / "log").read_text(), (
+        "not capped at the endpoint connections"
+    )
+    relist_at_answering_address(harness, 6)
+    wait_until(lambda: all(harness.attempt_count(trace) for trace in attempts) and not live_messages(harness))
+    assert not harness.notifications
+    assert {trace: harness.attempt_count(trace) for trace in attempts} == attempts
 
 
-def test_traffic_class_ids_survive_a_kill_after_a_switch(world: World) -> None:
+def test_traffic_class_ids_survive_a_kill_after_a_switch(harness: SenderHarness) -> None:
     """The next incarnation reads the ids that the killed one assigned. A switch whose ids cannot be
     written is not applied."""
-    world.start()
-    assert world.submit("f", "free", "hang 200", 1) == world.submit("o", "once", "hang", 2) == 202
-    wait_until(lambda: world.attempt_count("f") and world.attempt_count("o"))
-    state = world.folder / "state"
+    harness.start()
+    assert harness.submit("f", "free", "hang 200", 1) == harness.submit("o", "once", "hang", 2) == 202
+    wait_until(lambda: harness.attempt_count("f") and harness.attempt_count("o"))
+    state = harness.folder / "state"
     (state / "track-numbers.new").mkdir()
-    reload_configuration(world, "configuration not applied", settings=SWITCHED)
-    assert world.submit("l", "label", "200", 3) == 400
+    reload_configuration(harness, "configuration not applied", settings=SWITCHED)
+    assert harness.submit("l", "label", "200", 3) == 400
     (state / "track-numbers.new").rmdir()
-    reload_configuration(world, "settings applied")
-    assert world.submit("l", "label", "hang 200", 3) == 202
-    wait_until(lambda: world.attempt_count("l"))
-    world.kill()
+    reload_configuration(harness, "settings applied")
+    assert harness.submit("l", "label", "hang 200", 3) == 202
+    wait_until(lambda: harness.attempt_count("l"))
+    harness.kill()
     assert [row["name"] for row in TrafficClassIds(state).read()] == ["free", "tag", "once", "label", "once"]
-    world.start()
+    harness.start()
     wait_until(
-        lambda: world.notified("o")
-        and world.attempt_count("f") == world.attempt_count("l") == 2
-        and not live_messages(world)
+        lambda: harness.notified("o")
+        and harness.attempt_count("f") == harness.attempt_count("l") == 2
+        and not live_messages(harness)
     )
-    assert world.notified("o") == ["undeliverable"]
-    assert world.attempt_count("o") == 1
-    assert len(world.notifications) == 1
-    world.kill(signal.SIGTERM)
-    world.start()  # without live messages, ids are assigned anew
+    assert harness.notified("o") == ["undeliverable"]
+    assert harness.attempt_count("o") == 1
+    assert len(harness.notifications) == 1
+    harness.kill(signal.SIGTERM)
+    harness.start()  # without live messages, ids are assigned anew
     assert not TrafficClassIds(state).read()
-    assert world.submit("x", "label", "200", 3) == 202
-    wait_until(lambda: world.attempt_count("x") == 1)
+    assert harness.submit("x", "label", "200", 3) == 202
+    wait_until(lambda: harness.attempt_count("x") == 1)
 
 
 NO_ADDRESS = "metrics.listen: found {}, expected an address with a port"
@@ -132,19 +134,19 @@
     ],
 )
 def test_invalid_settings_print_one_line_at_reload_and_start(
-    world: World, key_path: str, value: object, problem: str
+    harness: SenderHarness, key_path: str, value: object, problem: str
 ) -> None:
     """The line names the invalid key, and at a start also the file. After a failed reload the previous
     settings stay in force."""
-    world.start()
+    harness.start()
     table, _, key = key_path.partition(".")
-    world.config["settings"] = dict(SETTINGS)
-    changed = world.config if table == "metrics" else world.config["settings"]
+    harness.config["settings"] = dict(SETTINGS)
+    changed = harness.config if table == "metrics" else harness.config["settings"]
     changed[table] = {**SETTINGS[table], key: value} if key else value
-    reload_configuration(world, problem)
-    assert world.submit("a", "free", "200", 1) == 202
-    world.kill()
-    run = subprocess.run([sys.executable, "-m", "ashpath"], env=world.environment(), capture_output=True)
-    line = f"ashpath: cannot start from {world.folder}/config.json: {problem}"
+    reload_configuration(harness, problem)
+    assert harness.submit("a", "free", "200", 1) == 202
+    harness.kill()
+    run = subprocess.run([sys.executable, "-m", "ashpath"], env=harness.environment(), capture_output=True)
+    line = f"ashpath: cannot start from {harness.folder}/config.json: {problem}"
     assert run.returncode == 2
     assert run.stderr.decode().splitlines() == [line]
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -6,7 +6,7 @@
 
 import gevent
 import pytest
-from support.world import wait_until
+from support.sender_harness import wait_until
 
 from ashpath.server.timers import Timers, now
 
--- a/tests/server/test_upgrade_between_releases.py
+++ b/tests/server/test_upgrade_between_releases.py
@@ -14,8 +14,8 @@
 import gevent
 import pytest
 from gevent.pool import Group
+from support.sender_harness import ROOT, SenderHarness, wait_until
 from support.server import terminate
-from support.world import ROOT, World, wait_until
 
 EARLIER = ROOT / "tests" / "fixtures" / "releases" / "ashpath-3949f73.zip"
 RELEASES = [(EARLIER, ROOT), (ROOT, EARLIER)]
@@ -31,9 +31,9 @@
     The messages are of a class that must not run twice, as repeatable messages are attempted again when a
     kill interrupts their attempt."""
 
-    def __init__(self, world: World, clients: int = CLIENT_COUNT) -> None:
+    def __init__(self, harness: SenderHarness, clients: int = CLIENT_COUNT) -> None:
         self.accepted: list[str] = []
-        self._world = world
+        self._harness = harness
         self._running = True
         self._clients = Group()
         for client in range(clients):
@@ -44,7 +44,7 @@
         while self._running:
             number += 1
             trace = f"load-{client}-{number}"
-            if self._world.submit(trace, "once", "200", 10 + client) == 202:
+            if self._harness.submit(trace, "once", "200", 10 + client) == 202:
                 self.accepted.append(trace)
             gevent.sleep(0.01)
 
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("end_signal", [signal.SIGTERM, signal.SIGKILL], ids=["SIGTERM", "SIGKILL"])
 @pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
 def test_upgrade_neither_loses_nor_duplicates_messages(
-    pair: tuple[World, World], first: Path, second: Path, end_signal: signal.Signals
+    pair: tuple[SenderHarness, SenderHarness], first: Path, second: Path, end_signal: signal.Signals
 ) -> None:
     """The old process ends under load, with messages queued and in flight."""
     old, new = start_with_releases(pair, first, second)
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
 def test_detached_endpoint_applies_to_both_processes(
-    pair: tuple[World, World], first: Path, second: Path
+    pair: tuple[SenderHarness, SenderHarness], first: Path, second: Path
 ) -> None:
     """Endpoints that an operator detaches at either process get no attempt from the other."""
     old, new = start_with_releases(pair, first, second)
@@ -100,7 +100,9 @@
 
 
 @pytest.mark.parametrize(("first", "second"), RELEASES, ids=UPGRADE_IDS)
-def test_retry_after_applies_to_both_processes(pair: tuple[World, World], first: Path, second: Path) -> None:
+def test_retry_after_applies_to_both_processes(
+    pair: tuple[SenderHarness, SenderHarness], first: Path, second: Path
+) -> None:
     """The process that received the Retry-After is killed; the other sends nothing to that destination
     until it has passed. The process is killed because an orderly shutdown would wait for the Retry-After
     itself."""
@@ -116,7 +118,9 @@
     assert monotonic() - received > 1.8
 
 
-def start_with_releases(pair: tuple[World, World], first: Path, second: Path) -> tuple[World, World]:
+def start_with_releases(
+    pair: tuple[SenderHarness, SenderHarness], first: Path, second: Path
+) -> tuple[SenderHarness, SenderHarness]:
     """Restarts the first process of the pair from release `first`; the second, of `second`, is not started
     yet."""
     old, new = pair
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -6,7 +6,7 @@
 
 from ashpath.config.errors import InvalidConfigurationError
 from ashpath.config.loading import read_configuration
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 EXAMPLE = ROOT / "deploy" / "sender.toml"
 TEXT = """[sender]
--- a/tests/support/drain_setup.py
+++ b/tests/support/drain_setup.py
@@ -16,7 +16,7 @@
 from ashpath.server.http.connection import HttpConnection
 from ashpath.server.http.encoding import encode_message
 from ashpath.server.http.errors import ConnectionClosedError, ProtocolError
-from support.world import LIMITS, SETTINGS, World, wait_until
+from support.sender_harness import LIMITS, SETTINGS, SenderHarness, wait_until
 
 STAYING_DESTINATION, DRAINING_DESTINATION = 1, 2  # destinations, each with one endpoint
 SUBMISSION_PAUSE_S = 0.03
@@ -70,13 +70,13 @@
         self.staying_endpoint = CountingEndpoint("stays", STAYING_DESTINATION)
         self.draining_endpoint = CountingEndpoint("leaves", DRAINING_DESTINATION)
         self.agents = [DiscoveryAgent(self.members("up"), LIMITS.http) for _ in range(agents)]
-        self.world = World(folder)
+        self.harness = SenderHarness(folder)
         # The sender is one of many, so its first polls are spread, and connection attempts take long to fail.
         limits = {**SETTINGS["limits"], "connect-timeout": 5000.0}
-        self.world.config["settings"] = {**SETTINGS, "group-size": 40, "rank": 39, "limits": limits}
-        self.world.config["known"] = {"revision": 1, "complete": True, "members": self.members("up")}
-        self.world.config["discovery"] = self.agents[0].address
-        self.world.configure()
+        self.harness.config["settings"] = {**SETTINGS, "group-size": 40, "rank": 39, "limits": limits}
+        self.harness.config["known"] = {"revision": 1, "complete": True, "members": self.members("up")}
+        self.harness.config["discovery"] = self.agents[0].address
+        self.harness.configure()
         self.clients: gevent.Greenlet[[], None] | None = None
 
     def members(self, phase: str, up_since_ms: int = 0) -> list[JsonObject]:
@@ -86,7 +86,7 @@
     def start(self) -> None:
         """Starts the clients, then the sender. Returns when the sender is ready."""
         self.clients = gevent.spawn(self._submit)
-        self.world.start()
+        self.harness.start()
 
     def wait_for_poll(self) -> None:
         """Waits until a long poll of the first agent is open and both endpoints were called."""
@@ -99,12 +99,12 @@
 
     def change_discovery_address(self, address: str) -> None:
         """Changes the address of the discovery service by a reload."""
-        self.world.config["discovery"] = address
-        self.world.configure()
-        assert self.world.process is not None
-        log = self.world.folder / "log"
+        self.harness.config["discovery"] = address
+        self.harness.configure()
+        assert self.harness.process is not None
+        log = self.harness.folder / "log"
         before = log.read_text().count(CONFIGURATION_READ)
-        self.world.process.send_signal(signal.SIGHUP)
+        self.harness.process.send_signal(signal.SIGHUP)
         wait_until(lambda: log.read_text().count(CONFIGURATION_READ) > before)
 
     def last_call_of_draining_endpoint(self) -> float:
@@ -116,14 +116,14 @@
         while True:
             number += 1
             destination = (STAYING_DESTINATION, DRAINING_DESTINATION)[number % 2]
-            gevent.spawn(self.world.submit, f"m{number}", "free", "200", destination)
+            gevent.spawn(self.harness.submit, f"m{number}", "free", "200", destination)
             gevent.sleep(SUBMISSION_PAUSE_S)
 
     def stop(self) -> None:
         """Stops the clients, the sender, the agents and the endpoints."""
         if self.clients is not None:
             self.clients.kill()
-        self.world.stop()
+        self.harness.stop()
         for agent in self.agents:
             agent.stop()
         self.staying_endpoint.stop()
--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 FILE = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_FAILURES = 3
--- a/tests/support/limits.py
+++ b/tests/support/limits.py
@@ -13,7 +13,7 @@
 from ashpath.server.discovery.snapshot import MembershipListener
 from ashpath.server.limits.server_limits import ServerLimits
 from ashpath.server.logs import Logger
-from support.world import LIMITS
+from support.sender_harness import LIMITS
 
 
 def limits_with(**values: float) -> ServerLimits:
--- a/tests/support/log_workload.py
+++ b/tests/support/log_workload.py
@@ -20,7 +20,7 @@
 IN_FLIGHT = Counter({14: 2, 15: 2, 17: 1, 18: 1})  # the attempt kept in flight, by number within a period
 
 
-class World:
+class SenderHarness:
     """What clients and endpoints have seen of all processes."""
 
     def __init__(self) -> None:
@@ -37,9 +37,9 @@
 class Process:
     """Accepts and delivers messages with one log, as a sender does."""
 
-    def __init__(self, log: WriteAheadLog, world: World) -> None:
+    def __init__(self, log: WriteAheadLog, harness: SenderHarness) -> None:
         self.log = log
-        self.world = world
+        self.harness = harness
 
     def accept(self, number: int) -> None:
         """Submits and delivers one message; of a period, one stays untried and four stay in flight."""
@@ -49,7 +49,7 @@
         )
         if not self.log.record_submitted(message):
             return
-        self.world.accepted.add(message.trace_id)
+        self.harness.accepted.add(message.trace_id)
         if number % PERIOD != UNTRIED:
             self.deliver(
                 message, may_have_run=number % 3 == 0, attempt_kept_in_flight=IN_FLIGHT[number % PERIOD]
@@ -61,7 +61,7 @@
             return
         self.log.record_outcome(message, may_have_run=may_have_run)
         if not may_have_run:
-            del self.world.first_run_at[message.trace_id]
+            del self.harness.first_run_at[message.trace_id]
         if may_be_sent(message):
             if not self.attempt(message) or attempt_kept_in_flight == 2:
                 return
@@ -69,15 +69,15 @@
         else:
             self.log.record_finished(message, f"failed {message.trace_id}")
             self.log.record_finished(message)
-        self.world.ended.add(message.trace_id)
+        self.harness.ended.add(message.trace_id)
 
     def attempt(self, message: StoredMessage) -> bool:
         """Sends the message once, if the attempt can be recorded."""
         with suppress(OSError):
-            self.world.now += 1
-            self.log.record_attempt(message, self.world.now, "e1")
-            self.world.first_run_at.setdefault(message.trace_id, self.world.now)
-            self.world.runs[message.trace_id] += 1
+            self.harness.now += 1
+            self.log.record_attempt(message, self.harness.now, "e1")
+            self.harness.first_run_at.setdefault(message.trace_id, self.harness.now)
+            self.harness.runs[message.trace_id] += 1
             return True
         return False
 
@@ -90,7 +90,7 @@
             if not message.finished and may_be_sent(message):
                 assert self.attempt(message)
             self.log.record_finished(message)
-            self.world.ended.add(message.trace_id)
+            self.harness.ended.add(message.trace_id)
 
     def restore_some(self, random: Random) -> None:
         """Delivers a part of what the log has; attempts that cannot be recorded are not made."""
@@ -104,11 +104,11 @@
             if sent and (not self.attempt(message) or random.random() < 0.3):
                 continue
             self.log.record_finished(message)
-            self.world.ended.add(message.trace_id)
+            self.harness.ended.add(message.trace_id)
 
     def check_first_run(self, message: StoredMessage) -> None:
         """Checks that a window that begins with the first attempt that may have run begins in time."""
-        first_run_at = self.world.first_run_at.get(message.trace_id)
+        first_run_at = self.harness.first_run_at.get(message.trace_id)
         if first_run_at is not None:
             assert message.first_run_at is not None, message.trace_id
             assert message.first_run_at <= first_run_at, message.trace_id
@@ -119,28 +119,28 @@
     return message.traffic_class == IDEMPOTENT or message.first_run_at is None
 
 
-def write_earlier_log(folder: Path, world: World) -> None:
+def write_earlier_log(folder: Path, harness: SenderHarness) -> None:
     """Writes the log of an earlier process, which has ended."""
     log = WriteAheadLog(folder, MAX_LOG_BYTES)
-    process = Process(log, world)
+    process = Process(log, harness)
     for number in range(EARLIER_MESSAGES):
         process.accept(number)
     # Two messages that no attempt was made for, and one in flight, are left to the process under test.
     for trace_id, traffic_class in (("u0", IDEMPOTENT), ("u1", AT_MOST_ONCE), ("u2", AT_MOST_ONCE)):
         message = StoredMessage(log.messages.last_id + 1, trace_id, traffic_class, 1, None, None, 2**60, BODY)
         assert log.record_submitted(message)
-        world.accepted.add(trace_id)
+        harness.accepted.add(trace_id)
     assert process.attempt(message)
     log.close()
 
 
-def at_most_once_messages_run_twice(world: World) -> list[str]:
+def at_most_once_messages_run_twice(harness: SenderHarness) -> list[str]:
     """Returns the at-most-once messages that were sent again after an attempt that may have run.
 
     The first attempt of a message whose number is no multiple of 3 is known not to have run.
     """
     twice = []
-    for trace_id, runs in world.runs.items():
+    for trace_id, runs in harness.runs.items():
         number = int(trace_id[1:])
         if trace_id.startswith("u"):
             allowed = FOR_GOOD if trace_id == "u0" else 1
--- a/tests/support/world.py
+++ b/tests/support/sender_harness.py
@@ -33,7 +33,7 @@
 LAUNCHER = "ashpath.emulator.fault_injection.launcher"
 ROOT = Path(__file__).parent.parent.parent
 TRAFFIC_CLASSES = {"free": "retryable", "tag": "dedup", "once": "fragile"}
-ENDPOINTS, PLATFORM, OTHER_PLATFORM = range(3)  # indexes of `World.servers`
+ENDPOINTS, PLATFORM, OTHER_PLATFORM = range(3)  # indexes of `SenderHarness.servers`
 STATUSES = {"slow": b"200", "stray": b"200", "egress": b"503", "wait": b"429"}
 HEADERS = {
     "429": [(b"Retry-After", b"0.05")],
@@ -112,7 +112,7 @@
     return encode_message(b"POST /api HTTP/1.1", headers, body.encode())
 
 
-class World:
+class SenderHarness:
     """A sender and all its peers.
 
     The words of a message's body say how the endpoints respond to its attempts, in their order; the last word
--- a/tests/support/stages.py
+++ b/tests/support/sender_parts.py
@@ -1,5 +1,5 @@
-"""Stages of a sender without a process, with test doubles for the other stages, for tests that control the
-order of concurrent events.
+"""Parts of a sender without a process, with test doubles for the others, for tests that control the order of
+concurrent events.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
 from ashpath.server.timers import now
 from support.limits import connection_pool, limits_with
-from support.world import LIMITS, POLICY_SETTINGS, TRAFFIC_CLASSES, World
+from support.sender_harness import LIMITS, POLICY_SETTINGS, TRAFFIC_CLASSES, SenderHarness
 
 
 def unreachable_notifier(write_ahead_log: WriteAheadLog) -> HttpNotifier:
@@ -60,7 +60,7 @@
         self.events.append(f"disconnected {message.trace_id}")
 
 
-class ListenerStages(NamedTuple):
+class ListenerSetup(NamedTuple):
     """A client listener, the receiver of its messages, and its write-ahead log."""
 
     listener: ClientListener
@@ -68,7 +68,7 @@
     write_ahead_log: WriteAheadLog
 
 
-def client_listener(folder: Path, max_bytes: int = 1 << 20, **limits: float) -> ListenerStages:
+def client_listener(folder: Path, max_bytes: int = 1 << 20, **limits: float) -> ListenerSetup:
     """Returns a listener for destination 1, not bound to a socket. `limits` replace the defaults."""
     server_limits = limits_with(**limits)
     log = WriteAheadLog(folder, max_bytes)
@@ -81,7 +81,7 @@
     class_ids = {name: number for number, name in enumerate(TRAFFIC_CLASSES)}
     admission = Admission(POLICY_SETTINGS, class_ids, registry, receiver, log, logger)
     listener = ClientListener(("127.0.0.1", 1), server_limits.clients, server_limits.http, admission, logger)
-    return ListenerStages(listener, receiver, log)
+    return ListenerSetup(listener, receiver, log)
 
 
 class SocketPairConnection(HttpConnection):
@@ -100,16 +100,16 @@
     return SocketPairConnection(local_end).read_request()
 
 
-class DeliveryStages:
-    """The stages that run attempts, and a test double of the policy runner that records their outcomes."""
+class DeliverySetup:
+    """The parts that run attempts, and a test double of the policy runner that records their outcomes."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, harness: SenderHarness) -> None:
         logger = structlog.get_logger()
-        write_ahead_log = WriteAheadLog(world.folder, LIMITS.storage.disk_bytes)
+        write_ahead_log = WriteAheadLog(harness.folder, LIMITS.storage.disk_bytes)
         notifier = unreachable_notifier(write_ahead_log)
         self.pool = connection_pool()
         self.registry = EndpointRegistry(["plain"], ["here"], self.pool, logger)
-        self.registry.apply_members(world.members, complete=True)
+        self.registry.apply_members(harness.members, complete=True)
         self.recorder = OutcomeRecorder(write_ahead_log, notifier)
         classifier = ResponseClassifier(has_load_reports=True)
         self.runner = AttemptRunner(self.pool, self.registry, classifier, notifier, logger)
--- a/tests/support/server.py
+++ b/tests/support/server.py
@@ -16,14 +16,14 @@
 from ashpath.server.http.listener import ClientListener
 from ashpath.server.storage.stored_message import StoredMessage
 from ashpath.server.storage.write_ahead_log import WriteAheadLog
-from support.world import LIMITS, World, wait_until
+from support.sender_harness import LIMITS, SenderHarness, wait_until
 
 
-def live_messages(world: World) -> dict[int, StoredMessage]:
+def live_messages(harness: SenderHarness) -> dict[int, StoredMessage]:
     """Returns the live messages by message id, read from a copy of the write-ahead log."""
-    copy = world.folder / f"copy{len(list(world.folder.iterdir()))}"
+    copy = harness.folder / f"copy{len(list(harness.folder.iterdir()))}"
     copy.mkdir()
-    (copy / "journal").write_bytes((world.folder / "state" / "journal").read_bytes())
+    (copy / "journal").write_bytes((harness.folder / "state" / "journal").read_bytes())
     write_ahead_log = WriteAheadLog(copy, LIMITS.storage.disk_bytes)
     write_ahead_log.close()
     return write_ahead_log.messages.live
@@ -46,14 +46,14 @@
         return socket.socket(fileno=accepted.detach()), client_end
 
 
-def reload_configuration(world: World, event: str, **changes: object) -> None:
+def reload_configuration(harness: SenderHarness, event: str, **changes: object) -> None:
     """Changes the configuration file and sends SIGHUP. Returns when the log contains the event once more."""
-    log = world.folder / "log"
+    log = harness.folder / "log"
     before = log.read_text().count(event)
-    world.config |= changes
-    world.configure()
-    assert world.process is not None
-    world.process.send_signal(signal.SIGHUP)
+    harness.config |= changes
+    harness.configure()
+    assert harness.process is not None
+    harness.process.send_signal(signal.SIGHUP)
     wait_until(lambda: log.read_text().count(event) > before)
 
 
@@ -74,9 +74,9 @@
 READINESS_REQUEST = encode_message(b"GET /health/ready HTTP/1.1", [], b"")
 
 
-def terminate(world: World) -> None:
+def terminate(harness: SenderHarness) -> None:
     """Sends SIGTERM and waits until the sender has exited with code 0."""
-    assert world.process is not None
-    world.process.send_signal(signal.SIGTERM)
-    wait_until(lambda: world.process is not None and world.process.poll() is not None)
-    assert world.process.returncode == 0
+    assert harness.process is not None
+    harness.process.send_signal(signal.SIGTERM)
+    wait_until(lambda: harness.process is not None and harness.process.poll() is not None)
+    assert harness.process.returncode == 0
--- a/tests/support/sites.py
+++ b/tests/support/sites.py
@@ -6,7 +6,7 @@
 import tomllib
 from typing import Any
 
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 SITES = ROOT / "deploy" / "sites"
 SITE_NAMES = ("harbour-dispatch", "orchard-events")
--- a/tests/support/standalone.py
+++ b/tests/support/standalone.py
@@ -1,4 +1,4 @@
-"""A sender that reads its own TOML file, with the endpoints of `World`."""
+"""A sender that reads its own TOML file, with the endpoints of `SenderHarness`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from gevent import subprocess
 
 from ashpath.server.http.encoding import encode_message
-from support.world import ROOT, World, wait_until
+from support.sender_harness import ROOT, SenderHarness, wait_until
 
 TRACKS = """
 [tracks.free]
@@ -47,7 +47,7 @@
 LOG_FILE = -100  # not a descriptor: standard output goes to the log file
 
 
-class StandaloneSender(World):
+class StandaloneSender(SenderHarness):
     """A sender of `ashpath serve`.
 
     `destinations` holds the text of the file's destination tables by number. Each lists the address of the
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.known_failures import parse_known_failures, read_known_failures
-from support.world import ROOT
+from support.sender_harness import ROOT
 
 
 def test_each_known_failure_names_an_existing_test() -> None:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 import pytest
+from support.sender_harness import ROOT, SenderHarness, wait_until
 from support.sites import SITE_NAMES, read, settings
-from support.world import ROOT, World, wait_until
 
 from ashpath.core.interface import PolicySettings, RetrySafety
 from ashpath.core.policy_settings import sender_settings
@@ -67,40 +67,41 @@
 
 
 @pytest.mark.parametrize("name", SITE_NAMES)
-def test_sender_delivers_messages_of_each_site(world: World, name: str) -> None:
+def test_sender_delivers_messages_of_each_site(harness: SenderHarness, name: str) -> None:
     """Messages of every class are delivered; a failed attempt is retried if the class allows a retry."""
     site = read(name)
     site_settings = settings(site)
-    world.config["settings"] = site_settings
-    for row in world.members:
+    harness.config["settings"] = site_settings
+    for row in harness.members:
         row["flavor"] = site_settings["kinds"][-1]
         row["locality"] = site_settings["zones"][-1]
-    world.configure()
-    world.start()
+    harness.configure()
+    harness.start()
     for number, row in enumerate(site["class"]):
         key = "k" if row.get("in_order") else ""
         for trace, body, to in (("good", "200", 1), ("bad", "500 200", 2), ("next", "200", 2)):
             assert (
-                world.submit(f"{trace}{number}", row["name"], body, 10 * number + to, ordering_key=key) == 202
+                harness.submit(f"{trace}{number}", row["name"], body, 10 * number + to, ordering_key=key)
+                == 202
             )
     for number, row in enumerate(site["class"]):
         at_most_once = row["effect"] == "unsafe"
         failing = f"bad{number}"
-        wait_until(partial(was_called, world, 1, f"good{number}", f"next{number}"))
+        wait_until(partial(was_called, harness, 1, f"good{number}", f"next{number}"))
         if at_most_once:
-            wait_until(partial(world.notified, failing))
+            wait_until(partial(harness.notified, failing))
         else:
-            wait_until(partial(was_called, world, 2, failing))
-        assert world.attempt_count(failing) == (1 if at_most_once else 2)
-    unknown = world.submit("x", "no-such-class", "200", 1)
+            wait_until(partial(was_called, harness, 2, failing))
+        assert harness.attempt_count(failing) == (1 if at_most_once else 2)
+    unknown = harness.submit("x", "no-such-class", "200", 1)
     assert unknown == 400
-    assert world.process is not None
-    assert world.process.poll() is None
+    assert harness.process is not None
+    assert harness.process.poll() is None
 
 
-def was_called(world: World, times: int, *traces: str) -> bool:
+def was_called(harness: SenderHarness, times: int, *traces: str) -> bool:
     """Returns whether endpoints were called exactly so many times for each message."""
-    return all(world.attempt_count(trace) == times for trace in traces)
+    return all(harness.attempt_count(trace) == times for trace in traces)
 
 
 def test_program_contains_no_name_of_a_site() -> None:
