--- a/ashpath/server/http/listener.py
+++ b/ashpath/server/http/listener.py
@@ -58,10 +58,7 @@
             self.inherited = True
             self.listening = True
             return
-        self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.socket.bind(self.address)
-        self.socket.listen(BACKLOG)
+        self.socket = open_listening_socket(self.address)
         self.listening = True
 
     def run(self) -> None:
@@ -89,10 +86,11 @@
         Without a new socket the process would serve no client. An inherited socket cannot be replaced."""
         self.services.logger.error("listening socket lost", error=str(error), inherited=self.inherited)
         if not self.inherited:
-            with suppress(OSError):
-                self.socket.close()
+            lost = self.socket
             with suppress(OSError):  # the next failed accept retries
-                self.listen()
+                self.socket = open_replacement(lost, self.address)
+            with suppress(OSError):
+                lost.close()
 
     def serve(self, connection: HttpConnection) -> None:
         """Serves a connection until it ends; `connection_count` includes it already."""
@@ -153,3 +151,29 @@
     def has_open_requests(self) -> bool:
         """Whether a request is being read or responded to."""
         return self.table.count(ConnectionState.READING, ConnectionState.RESPONDING) > 0
+
+
+def open_listening_socket(address: Address, *, shared: bool = False) -> socket.socket:
+    """Returns a socket that listens at `address`. Raises OSError.
+
+    `shared`: another socket with SO_REUSEPORT of the same user may listen there at the same time."""
+    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        if shared:
+            opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        opened.bind(address)
+        opened.listen(BACKLOG)
+    except OSError:
+        opened.close()
+        raise
+    return opened
+
+
+def open_replacement(lost: socket.socket, address: Address) -> socket.socket:
+    """Returns a socket that listens at `address` in place of `lost`, which is still open. Raises OSError.
+
+    The replacement listens before `lost` is closed, so that no client is refused in between."""
+    with suppress(OSError):  # the descriptor may not be a socket any more; its address is free then
+        lost.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    return open_listening_socket(address, shared=True)
--- a/tests/server/http/test_listener.py
+++ b/tests/server/http/test_listener.py
@@ -2,16 +2,20 @@
 
 from __future__ import annotations
 
+import errno
 import os
 import resource
 from time import monotonic
+from unittest.mock import Mock
 
+import pytest
 from gevent import socket
 from gevent.server import StreamServer
 from support.server import address_of
-from support.world import LIMITS, World, request, reset_connection, wait_until
+from support.world import LIMITS, World, free_address, request, reset_connection, wait_until
 
 from ashpath.emulator.fault_injection.call_faults import CallFault, FaultyCall, ProcessFaults
+from ashpath.server.http.listener import ClientListener
 
 CHUNKED = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n%s\r\n"
 
@@ -125,3 +129,38 @@
     wait_until(lambda: "listening socket lost" in (world.folder / "log").read_text())
     assert world.submit("later", "free", "200", 1) == 202
     assert statuses.count(202) >= 5  # those in the lost socket's backlog are reset, and retried
+
+
+def test_lost_listening_socket_refuses_no_client_while_it_is_replaced(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A client connects at the moment at which the lost socket closes: the replacement already listens."""
+    address = free_address()
+    listener = ClientListener(address, LIMITS, Mock(), Mock())
+    listener.listen()
+    lost = listener.socket
+    clients: list[socket.socket] = []
+    close = socket.socket.close
+
+    def connect_after_close(closed: socket.socket) -> None:
+        close(closed)
+        if closed is lost:
+            clients.append(socket.create_connection(address, timeout=3))
+
+    monkeypatch.setattr(socket.socket, "close", connect_after_close)
+    listener.listen_again(OSError(errno.EINVAL, "injected"))
+    assert clients  # otherwise refused
+    listener.socket.settimeout(3)
+    assert listener.socket.accept()[1] == clients[0].getsockname()
+    listener.socket.close()
+
+
+def test_replacement_of_lost_socket_excludes_other_senders() -> None:
+    """A second sender at the same address fails at its start, also after a replacement."""
+    address = free_address()
+    listener = ClientListener(address, LIMITS, Mock(), Mock())
+    listener.listen()
+    listener.listen_again(OSError(errno.EINVAL, "injected"))
+    with pytest.raises(OSError, match="in use"):
+        ClientListener(address, LIMITS, Mock(), Mock()).listen()
+    listener.socket.close()
