--- a/ashpath/server/control/connection.py
+++ b/ashpath/server/control/connection.py
@@ -74,8 +74,13 @@
                     return command
 
     def execute(self, command: OperatorCommand) -> CommandResult:
-        """Passes the command to the handler, and logs its result."""
-        result = self.handler.handle(command)
+        """Passes the command to the handler, and logs its result. A system call that fails within it is the
+        command's failure, not the connection's."""
+        try:
+            result = self.handler.handle(command)
+        except OSError as error:
+            reason = f"{command.verb.value} failed: {error.strerror or error}"
+            result = CommandResult(succeeded=False, message=reason)
         argument = command.endpoint_id if isinstance(command, EndpointCommand) else None
         self.logger.info(
             "operator command",
