--- a/ashpath/server/discovery/errors.py
+++ b/ashpath/server/discovery/errors.py
@@ -1,4 +1,4 @@
-"""Errors in responses of service discovery, and the error that interrupts a wait for a response."""
+"""Errors in responses of service discovery."""
 
 
 class DiscoveryError(Exception):
@@ -14,7 +14,3 @@
 
 class EmptyListError(DiscoveryError):
     """A snapshot has no endpoints: the agent has lost its list, so the snapshot is not applied."""
-
-
-class AgentMovedError(DiscoveryError):
-    """The agent has moved to another address. Raised in a pausing greenlet, which handles it itself."""
