--- a/ashpath/server/discovery/client.py
+++ b/ashpath/server/discovery/client.py
@@ -55,9 +55,9 @@
 class Poll:
     """A poll in progress, in a greenlet of its own."""
 
-    def __init__(self, connection: AgentConnection, moves: int, lists_read: int) -> None:
+    def __init__(self, connection: AgentConnection, address_changes: int, lists_read: int) -> None:
         self.connection = connection
-        self.moves = moves  # `DiscoveryClient.moves` when the poll began
+        self.address_changes = address_changes  # `DiscoveryClient.address_changes` when the poll began
         self.lists_read = lists_read  # `DiscoveryClient.lists_read` when the poll began
         self.response: HttpResponse | None = None
         self.ended = Event()
@@ -92,7 +92,7 @@
         self.pause = InterruptiblePause()
         self.lease = ListLease(monotonic(), limits.list_lease_s)
         self.departures = Departures()
-        self.moves = 0  # number of changes of agent
+        self.address_changes = 0  # of the agent
         self.lists_read = 0
         self.late_polls: list[Poll] = []  # oldest first
         self.pushed = pushed
@@ -115,8 +115,8 @@
         The new agent may number revisions from a new start, and its list may differ from that of the old
         agent. Responses of the old agent are ignored, and a pause that its failure caused ends at once."""
         self.revision = None
-        self.moves += 1
-        self.departures.agent_moved()
+        self.address_changes += 1
+        self.departures.agent_address_changed()
         self.lease.shorten(monotonic(), self.limits.moved_list_lease_s)
         if address != self.connection.address:
             self.silent_backoff.reset()
@@ -160,9 +160,9 @@
 
     def poll_and_pause(self) -> None:
         """Polls once, logs a change of state, and pauses if the poll failed."""
-        moves_before = self.moves
+        changes_before = self.address_changes
         response = self.poll(self.poll_timeout())
-        if moves_before != self.moves:
+        if changes_before != self.address_changes:
             return  # the agent moved during the poll
         state = self.next_state(response)
         if state is DiscoveryState.ANSWERING:
@@ -205,7 +205,7 @@
         if self.revision is not None:
             query = b"?index=%d&wait=%d" % (self.revision, int(self.limits.watch_s * 1000))
         request_line = b"GET %s%s HTTP/1.1" % (wire_names.ENDPOINT_LIST_PATH, query)
-        poll = Poll(self.connection, self.moves, self.lists_read)
+        poll = Poll(self.connection, self.address_changes, self.lists_read)
         gevent.spawn(self.run_poll, poll, request_line)
         poll.ended.wait(timeout_s)
         if poll.ended.is_set():  # `wait` returns False if the poll ends just as its time does
@@ -241,7 +241,7 @@
 
     def apply_late_list(self, poll: Poll) -> None:
         """Applies the list of a late poll, unless another list was read or the agent moved since it began."""
-        if poll.moves != self.moves or poll.lists_read != self.lists_read:
+        if poll.address_changes != self.address_changes or poll.lists_read != self.lists_read:
             return
         if poll.response is not None and self.apply_if_list(poll.response):
             self.record_list_read()
--- a/ashpath/server/discovery/departures.py
+++ b/ashpath/server/discovery/departures.py
@@ -43,7 +43,7 @@
     departed_at: float
     """Seconds of the monotonic clock."""
     agent_number: int
-    """The agent that listed the departure: the number of moves before it."""
+    """The agent that listed the departure: the number of changes of address before it."""
 
 
 class FilteredList(Struct, frozen=True):
@@ -64,7 +64,7 @@
         self.listed: dict[str, float] = {}  # listed start time of each endpoint that is up
         self.agent_number = 0
 
-    def agent_moved(self) -> None:
+    def agent_address_changed(self) -> None:
         """Later lists come from another agent, whose revisions may start anew."""
         self.agent_number += 1
 
--- a/tests/server/discovery/test_departures.py
+++ b/tests/server/discovery/test_departures.py
@@ -59,7 +59,7 @@
         if isinstance(step, int):
             now += step
         elif isinstance(step, str):
-            departures.agent_moved()
+            departures.agent_address_changed()
         else:
             filtered = departures.filter(response(step), now)
     phases = {each["id"]: each["phase"] for each in filtered.rows}
