--- a/tests/server/control/test_connection.py
+++ b/tests/server/control/test_connection.py
@@ -32,7 +32,7 @@
         server_end, operator_end = tcp_pair()
         table.add(server_end)
         operator_end.sendall(b"LAMEDUCK\n")
-        write_timeout_s = LIMITS.clients.response_write_s
+        write_timeout_s = LIMITS.http.response_write_s
         ControlConnection(
             server_end, table, LIMITS.control, write_timeout_s, FailingHandler(), logger
         ).serve()
