--- a/benchmarks/figure_storage.py
+++ b/benchmarks/figure_storage.py
@@ -1,4 +1,4 @@
-"""Where a measurement's figures go."""
+"""Stores the figures of a benchmark."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def measured_commit() -> str:
-    """The commit that was measured; a + behind it where the work tree differs."""
+    """Returns the measured commit, followed by + if the work tree differs from the commit."""
     command = ["git", "-C", str(ROOT), "describe", "--always", "--dirty=+", "--exclude=*"]
     return subprocess.run(command, capture_output=True, text=True, check=True).stdout.strip()
 
 
 def store_figures(name: str, command: str, figures: Mapping[str, object]) -> None:
-    """Prints the figures and writes them beside the others, with what was run where."""
+    """Prints the figures and writes them to `figures`, with the command, the commit and the machine."""
     machine = f"{os.cpu_count()} cores, Python {platform.python_version()}"
     row = {"command": command, "commit": measured_commit(), "machine": machine, **figures}
     text = orjson.dumps(row, option=orjson.OPT_INDENT_2).decode()
--- a/benchmarks/tap.py
+++ b/benchmarks/tap.py
@@ -1,17 +1,17 @@
-"""What the calls of a day in the simulator came to, from what `lbsim replay S DAY --tap FILE` writes.
+"""Reports on the calls of a simulated day, from the file that `lbsim replay S DAY --tap FILE` writes.
 
     .venv/bin/python -m benchmarks.tap FILE [DESTINATION]
 
-By kind of destination: calls by how they ended, messages a call, and how each call came by its connection:
-kept, or new because there was none yet, because it had been given back, or because it had idled too long.
-By 2.5 s: how many slots calls held in the mean, those of cancelled calls beside it, and how messages that
-were given up ended. Last, failed messages by their number of attempts and how the first one ended. A call
-is what one sender sent to one endpoint in one round, as the wire has it. All figures are of simulated
-servers. With the number of a destination: all that was sent there, by whom, how it ended, and what was
-logged of it.
+By kind of destination: calls by outcome, messages per call, and how each call got its connection: an idle one
+(kept), or a new one because there was none yet (first), because the sender had closed it (given back), or
+because it had exceeded the idle time-out (idled). For each 2.5 s: the mean number of slots that calls held,
+that of cancelled calls, and the final outcomes of messages that were not delivered. Last, failed messages by
+their number of attempts and the outcome of the first attempt. A call is what one sender sent to one endpoint
+in one round, as on the wire. All figures are of simulated servers. With the number of a destination: each
+call to the destination with its sender and outcome, and the log lines about the destination.
 
-The names of events, actions and fields are those of the bench's wire; the words printed are older than the
-standard terms, so that reports can be compared with those that were kept.
+The names of events, actions and fields are those of the bench's wire. The printed words are older than the
+terms of the code, so that reports can be compared with stored ones.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
     """One event or action of a sender."""
 
     clock_ms: float | None
-    """None: an action that answers the event before it."""
+    """Time of the event; None for an action, which responds to the event before it."""
     sender: int
     name: str
     body: dict[str, Any]
 
 
 class Call(NamedTuple):
-    """What one sender sent to one endpoint in one round."""
+    """The messages that one sender sent to one endpoint in one round."""
 
     sender: int
     endpoint: str
@@ -51,21 +51,21 @@
 
 
 class AttemptKey(NamedTuple):
-    """An attempt in flight."""
+    """The key of an attempt in flight."""
 
     sender: int
     message: int
 
 
 class ConnectionKey(NamedTuple):
-    """Where connections are held: of one sender to one endpoint."""
+    """The key of the connections of one sender to one endpoint."""
 
     sender: int
     endpoint: str
 
 
 def read_items(lines: Iterable[bytes]) -> Iterator[Item]:
-    """The items of all senders, in the order written."""
+    """Yields the items of all senders in the order of the file."""
     for line in lines:
         if not line.startswith(b"{"):
             continue
@@ -77,7 +77,7 @@
 
 
 class Tap:
-    """The figures of one file; all items are added, then they are reported.
+    """The figures of one file. Add all items, then call `report`.
 
     >>> tap, kinds = Tap(), {"endpoint": "x", "hw": 0}
     >>> facts = {"specifics": {"per-call": [5]}, "limits": {"conn-idle": 9000.0}}
@@ -163,7 +163,7 @@
             self._connections[kind][self._take_connection(ConnectionKey(sender, endpoint))] += 1
 
     def _take_connection(self, connection_key: ConnectionKey) -> str:
-        """How a call came by its connection."""
+        """Takes a connection for a call, and returns how the call got the connection."""
         idle = self._idle_since.get(connection_key, [])
         usable = [since for since in idle if self._clock_ms - since < self._idle_timeout_ms]
         self._idle_since[connection_key] = usable[:-1]
@@ -191,7 +191,7 @@
                 self._idle_since.setdefault(ConnectionKey(sender, endpoint), []).append(self._clock_ms)
 
     def _add_slot_time(self, since_ms: float, kind: str) -> None:
-        """The time of a call that ends now, shared out to the rows it lay in."""
+        """Adds the duration of a call that ends now to the rows that the call overlaps."""
         row = self._row
         start = (self._began_ms or 0.0) + row * ROW_MS
         while row >= 0 and since_ms < start + ROW_MS:
@@ -213,7 +213,7 @@
         self._failed[len(outcomes), outcomes[0] if outcomes else "never sent"] += 1
 
     def report(self) -> list[str]:
-        """All figures, a line each."""
+        """Returns the lines of the report."""
         lines: list[str] = []
         for kind in sorted(self._outcomes):
             each = self._messages[kind] / max(1, self._calls[kind])
@@ -234,7 +234,7 @@
 
 
 def history(items: Iterable[Item], destination: int) -> Iterator[str]:
-    """What happened at one destination.
+    """Yields a line for each event of one destination.
 
     >>> rows = [{"endpoint": "x", "cell": 7}]
     >>> items = [Item(9.0, 3, "Register", {"rows-in": rows}), Item(None, 3, "CallOut", {"endpoint": "x"}),
@@ -261,7 +261,7 @@
 
 
 def _text_of(item: Item, destination: int, endpoints: set[str]) -> str:
-    """What an item says of the destination; empty where it says nothing of it."""
+    """Returns the text of an item; empty if the item does not concern the destination."""
     body = item.body
     endpoint = str(body.get("endpoint") or "")
     if item.name in ("CallOut", "Returned") and endpoint in endpoints:
@@ -274,7 +274,7 @@
 
 
 def main() -> None:
-    """The command."""
+    """Runs the command of the command line."""
     with Path(sys.argv[1]).open("rb") as file:
         if len(sys.argv) > 2:
             print("\n".join(history(read_items(file), int(sys.argv[2]))))
